--- a/src/cli/browse_command.cpp
+++ b/src/cli/browse_command.cpp
@@ -47,7 +47,7 @@
     const bool wanted = options.source.empty() || source.name == options.source;
     return source.kind != SourceConfig::Kind::kDnsSd || !wanted;
   });
-  if (!config.on()) throw std::runtime_error("the configuration names no such DNS-SD source");
+  if (!config.enabled()) throw std::runtime_error("the configuration names no such DNS-SD source");
   return config;
 }
 
--- a/src/cli/check_config_command.cpp
+++ b/src/cli/check_config_command.cpp
@@ -15,7 +15,7 @@
     const Config config = ParseConfig(ReadFile(file));
     ValidateForStart(config);
     // Without DNS-SD sources, the registry is the only one.
-    const std::size_t sources = config.membership.on() ? config.membership.sources.size() : 1;
+    const std::size_t sources = config.membership.enabled() ? config.membership.sources.size() : 1;
     out << file << ": " << config.settings.classes.size() << " classes, "
         << config.cached_listing.servers.size() << " known servers, " << sources << " sources of servers\n";
     return kExitSuccess;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -73,10 +73,10 @@
   config.settings = SettingsFromTable(TableFromJson(settings));
   if (config.settings.classes.empty()) throw ConfigError("settings", config_fault::NoRequestClass{});
   config.failure_domains = StringsOrNone(settings, "failure_domains");
-  config.kinds = StringsOrNone(settings, "kinds");
+  config.server_kinds = StringsOrNone(settings, "kinds");
   const Json policy = settings.value("policy_limits", Json::object());
   config.connect_timeout = policy.value("connect_timeout", kDefaultConnectTimeout);
-  config.idle_close = policy.value("idle_close", kDefaultIdleClose);
+  config.idle_timeout = policy.value("idle_close", kDefaultIdleClose);
   config.max_open = static_cast<std::size_t>(std::max(0.0, policy.value("max_open", 0.0)));
 }
 
@@ -115,7 +115,7 @@
 
 void ValidateForStart(const Config& config) {
   ParseHostPortOrThrow(config.listen_address);
-  const bool uses_registry = !config.membership.on() || config.membership.RegistryIndex();
+  const bool uses_registry = !config.membership.enabled() || config.membership.RegistryIndex();
   if (uses_registry) ParseHostPortOrThrow(config.discovery_address);
   if (!config.admin_address.empty()) ParseHostPortOrThrow(config.admin_address);
 }
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -32,13 +32,13 @@
   EndpointList cached_listing;   // the servers as the registry last listed them
   Settings settings;             // of the decision module
   std::vector<std::string> failure_domains;
-  std::vector<std::string> kinds;  // of servers
-  Micros connect_timeout = 0;      // for connections to servers
-  Micros idle_close = 0;           // how long a connection to a server is kept idle
-  std::size_t max_open = 0;        // parsed, but without effect at present
-  MembershipConfig membership;     // off: the registry alone
-  bool log_json = false;           // log: {"form": "json"}
-  bool trace = false;              // run --trace: a line for each step of each request
+  std::vector<std::string> server_kinds;  // of servers
+  Micros connect_timeout = 0;             // for connections to servers
+  Micros idle_timeout = 0;                // how long a connection to a server is kept idle
+  std::size_t max_open = 0;               // parsed, but without effect at present
+  MembershipConfig membership;            // off: the registry alone
+  bool log_json = false;                  // log: {"form": "json"}
+  bool trace = false;                     // run --trace: a line for each step of each request
 };
 
 // Parses the document. Throws ConfigError, or SettingsError for a wrong value under `settings`.
--- a/src/config/membership_config.cpp
+++ b/src/config/membership_config.cpp
@@ -26,31 +26,39 @@
 constexpr Micros kRemovalMargin = 1'000'000;
 
 void ParseZone(JsonObjectReader& object, DnsSdSource& dns) {
-  dns.zone.service = object.GetString("service", dns.zone.service);
-  dns.zone.zone = object.GetRequiredString("zone");
-  if (!dnssd::IsValidName(dns.zone.service)) object.Fail("service", config_fault::InvalidServiceName{});
-  const std::string domain = dns.zone.service + "." + dns.zone.zone;
+  dns.browser_options.service = object.GetString("service", dns.browser_options.service);
+  dns.browser_options.zone = object.GetRequiredString("zone");
+  if (!dnssd::IsValidName(dns.browser_options.service))
+    object.Fail("service", config_fault::InvalidServiceName{});
+  const std::string domain = dns.browser_options.service + "." + dns.browser_options.zone;
   if (!dnssd::IsValidName(domain)) object.Fail("zone", config_fault::InvalidDnsName{});
-  dns.zone.site = object.GetString("site", "");
-  dns.zone.mode = object
-                      .GetChoice<dnssd::BrowseMode>("mode", {{"poll", dnssd::BrowseMode::kPoll},
-                                                             {"serial", dnssd::BrowseMode::kSerial},
-                                                             {"transfer", dnssd::BrowseMode::kTransfer}})
-                      .value_or(dnssd::BrowseMode::kSerial);
-  dns.zone.poll_interval = object.GetDuration("look_ms", dns.zone.poll_interval, 20, kHourMs);
-  dns.zone.retry_interval =
-      object.GetDuration("retry_ms", std::min(dns.zone.retry_interval, dns.zone.poll_interval), 20, kHourMs);
-  dns.zone.refresh_fraction = object.GetNumber("refresh_fraction", dns.zone.refresh_fraction, 0.1, 1);
-  dns.zone.min_refresh = object.GetDuration("least_refresh_ms", dns.zone.min_refresh, 100, kHourMs);
-  dns.zone.max_instances = object.GetCount("most_instances", dns.zone.max_instances, 1, kMaxInstances);
-  dns.zone.max_concurrent_queries = object.GetCount("most_asks", dns.zone.max_concurrent_queries, 1, 256);
+  dns.browser_options.site = object.GetString("site", "");
+  dns.browser_options.mode =
+      object
+          .GetChoice<dnssd::BrowseMode>("mode", {{"poll", dnssd::BrowseMode::kPoll},
+                                                 {"serial", dnssd::BrowseMode::kSerial},
+                                                 {"transfer", dnssd::BrowseMode::kTransfer}})
+          .value_or(dnssd::BrowseMode::kSerial);
+  dns.browser_options.poll_interval =
+      object.GetDuration("look_ms", dns.browser_options.poll_interval, 20, kHourMs);
+  dns.browser_options.retry_interval = object.GetDuration(
+      "retry_ms", std::min(dns.browser_options.retry_interval, dns.browser_options.poll_interval), 20,
+      kHourMs);
+  dns.browser_options.refresh_fraction =
+      object.GetNumber("refresh_fraction", dns.browser_options.refresh_fraction, 0.1, 1);
+  dns.browser_options.min_refresh =
+      object.GetDuration("least_refresh_ms", dns.browser_options.min_refresh, 100, kHourMs);
+  dns.browser_options.max_instances =
+      object.GetCount("most_instances", dns.browser_options.max_instances, 1, kMaxInstances);
+  dns.browser_options.max_concurrent_queries =
+      object.GetCount("most_asks", dns.browser_options.max_concurrent_queries, 1, 256);
 }
 
 void ParseAllowedAddresses(JsonObjectReader& object, DnsSdSource& dns) {
   const std::vector<std::string> blocks = object.GetStrings("allow");
   for (std::size_t i = 0; i < blocks.size(); ++i) {
     try {
-      dns.zone.allowed_addresses.emplace_back(blocks[i]);
+      dns.browser_options.allowed_addresses.emplace_back(blocks[i]);
     } catch (const std::invalid_argument&) {
       object.Fail("allow[" + std::to_string(i) + "]", config_fault::InvalidAddressBlock{blocks[i]});
     }
@@ -67,10 +75,12 @@
     if (ParseHostPort(address)) continue;
     object.Fail("resolvers[" + std::to_string(i) + "]", config_fault::InvalidHostPort{address});
   }
-  dns.retries.resolver_count = dns.resolvers.size();
-  dns.retries.udp_timeout = object.GetDuration("wait_ms", dns.retries.udp_timeout, 10, 10'000);
-  dns.retries.tcp_timeout = object.GetDuration("stream_wait_ms", dns.retries.tcp_timeout, 10, 60'000);
-  dns.retries.max_attempts = static_cast<int>(object.GetCount("tries", kDefaultTries, 1, 10));
+  dns.resolver_options.resolver_count = dns.resolvers.size();
+  dns.resolver_options.udp_timeout =
+      object.GetDuration("wait_ms", dns.resolver_options.udp_timeout, 10, 10'000);
+  dns.resolver_options.tcp_timeout =
+      object.GetDuration("stream_wait_ms", dns.resolver_options.tcp_timeout, 10, 60'000);
+  dns.resolver_options.max_attempts = static_cast<int>(object.GetCount("tries", kDefaultTries, 1, 10));
 }
 
 DnsSdSource ParseDnsSdSource(JsonObjectReader& object) {
@@ -101,7 +111,7 @@
     case SourceConfig::Kind::kStatic:
       return "static";
     case SourceConfig::Kind::kDnsSd:
-      return source.dns_sd.zone.zone;
+      return source.dns_sd.browser_options.zone;
   }
   return "";
 }
--- a/src/config/membership_config.hpp
+++ b/src/config/membership_config.hpp
@@ -19,8 +19,8 @@
 
 // A DNS-SD zone and the resolvers that are queried for it.
 struct DnsSdSource {
-  dnssd::BrowserOptions zone;
-  dnssd::StubResolverOptions retries;
+  dnssd::BrowserOptions browser_options;
+  dnssd::StubResolverOptions resolver_options;
   std::vector<std::string> resolvers;  // addresses with ports
 };
 
@@ -38,7 +38,7 @@
   membership::Options options;
 
   // False if the configuration has no such part.
-  bool on() const { return !sources.empty(); }
+  bool enabled() const { return !sources.empty(); }
   // The index of the registry among the sources; none if it is not a source.
   std::optional<std::size_t> RegistryIndex() const;
 };
--- a/src/discovery/dns_sd_discovery.cpp
+++ b/src/discovery/dns_sd_discovery.cpp
@@ -26,7 +26,7 @@
 bool IsDns(const SourceConfig& source) { return source.kind == SourceConfig::Kind::kDnsSd; }
 
 dnssd::BrowserOptions BrowserOptionsOf(const DnsSdSource& source, std::size_t max_queries) {
-  dnssd::BrowserOptions options = source.zone;
+  dnssd::BrowserOptions options = source.browser_options;
   options.max_concurrent_queries = std::min(options.max_concurrent_queries, max_queries);
   return options;
 }
@@ -45,7 +45,7 @@
       : source_index(index),
         name(source_name),
         browser(BrowserOptionsOf(source, max_queries)),
-        resolver(source.retries) {
+        resolver(source.resolver_options) {
     for (const std::string& address : source.resolvers) endpoints.push_back(net::ToEndpoint(address));
   }
 
--- a/src/discovery/dns_sd_status.cpp
+++ b/src/discovery/dns_sd_status.cpp
@@ -37,7 +37,7 @@
   out << "server " << server.listed.id << " at " << server.listed.address << " group=" << server.listed.group
       << " site=" << server.listed.zone << " started=" << server.listed.started_unix_ms << " sources=";
   for (std::size_t i = 0; i < server.sources.size(); ++i) out << (i ? "," : "") << server.sources[i];
-  out << " for=" << (now - server.since) / kMicrosPerSecond << "s: " << membership::ToText(server.reason)
+  out << " for=" << (now - server.since) / kMicrosPerSecond << "s: " << membership::ToText(server.status)
       << "\n";
 }
 
@@ -47,7 +47,8 @@
   std::ostringstream out;
   for (const DnsSdDiscovery::ZoneStatus& zone : discovery.Zones()) WriteZone(out, zone);
   WriteMembership(out, discovery.membership());
-  for (const membership::ServerView& server : discovery.membership().View()) WriteServer(out, server, now);
+  for (const membership::ServerView& server : discovery.membership().ServerViews())
+    WriteServer(out, server, now);
   return out.str();
 }
 
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -125,15 +125,15 @@
     return;
   }
   UpdateConflict(server);
-  Reason reason = DecideReason(server);
-  if (reason == Reason::kAwaitingAdmission && server.published) {
+  ServerStatus status = DetermineStatus(server);
+  if (status == ServerStatus::kAwaitingAdmission && server.published) {
     // It is still listed as draining: a server that returns is not a new one.
     server.admitted = true;
-    reason = Reason::kInService;
+    status = ServerStatus::kInService;
   }
-  SetReason(now, server, reason);
+  SetStatus(now, server, status);
   UpdateAdmissionQueue(id, server);
-  server.vanish_timer.Update(reason == Reason::kVanished, now);
+  server.vanish_timer.Update(status == ServerStatus::kVanished, now);
   Publish(server, ListingFor(now, server));
   wakeups_.Set(id, NextEvaluation(now, server));
 }
@@ -144,26 +144,27 @@
   server.conflicting = conflicting;
 }
 
-Reason Membership::DecideReason(const Server& server) const {
-  if (HasState(server.records, SourceState::kVanished)) return Reason::kVanished;
-  if (HasState(server.records, SourceState::kDraining)) return Reason::kTerminating;
+ServerStatus Membership::DetermineStatus(const Server& server) const {
+  if (HasState(server.records, SourceState::kVanished)) return ServerStatus::kVanished;
+  if (HasState(server.records, SourceState::kDraining)) return ServerStatus::kTerminating;
   const int group = AuthoritativeRecord(server.records)->listed.group;
-  if (server.flap_history.suppressed() && groups_.MaySuppress(group)) return Reason::kSuppressed;
-  return server.admitted ? Reason::kInService : Reason::kAwaitingAdmission;
+  if (server.flap_history.suppressed() && groups_.MaySuppress(group)) return ServerStatus::kSuppressed;
+  return server.admitted ? ServerStatus::kInService : ServerStatus::kAwaitingAdmission;
 }
 
-void Membership::SetReason(Micros now, Server& server, Reason reason) {
-  if (server.reason == reason && server.reason_since) return;
-  if (server.reason == Reason::kSuppressed) groups_.RemoveSuppressed(server.suppressed_group);
+void Membership::SetStatus(Micros now, Server& server, ServerStatus status) {
+  if (server.status == status && server.status_since) return;
+  if (server.status == ServerStatus::kSuppressed) groups_.RemoveSuppressed(server.suppressed_group);
   server.suppressed_group = AuthoritativeRecord(server.records)->listed.group;
-  if (reason == Reason::kSuppressed) groups_.AddSuppressed(server.suppressed_group);
-  server.reason = reason;
-  server.reason_since = now;
+  if (status == ServerStatus::kSuppressed) groups_.AddSuppressed(server.suppressed_group);
+  server.status = status;
+  server.status_since = now;
 }
 
 void Membership::UpdateAdmissionQueue(const std::string& id, Server& server) {
   std::optional<int> group;
-  if (server.reason == Reason::kAwaitingAdmission) group = AuthoritativeRecord(server.records)->listed.group;
+  if (server.status == ServerStatus::kAwaitingAdmission)
+    group = AuthoritativeRecord(server.records)->listed.group;
   if (server.queued_group == group) return;
   if (server.queued_group) admission_.Remove(id, *server.queued_group);
   if (group) admission_.Enqueue(id, *group);
@@ -172,7 +173,7 @@
 
 // A server that is not in service is listed only if it was before, so that its requests can finish.
 std::optional<ListedServer> Membership::ListingFor(Micros now, const Server& server) const {
-  const bool in_service = server.reason == Reason::kInService;
+  const bool in_service = server.status == ServerStatus::kInService;
   const bool drains = server.published && server.vanish_timer.IsListed(options_.vanish, now);
   if (!in_service && !drains) return std::nullopt;
   ListedServer listed = AuthoritativeRecord(server.records)->listed;
@@ -182,7 +183,7 @@
 }
 
 std::optional<Micros> Membership::NextEvaluation(Micros now, const Server& server) const {
-  if (server.reason == Reason::kVanished) return server.vanish_timer.NextChange(options_.vanish, now);
+  if (server.status == ServerStatus::kVanished) return server.vanish_timer.NextChange(options_.vanish, now);
   if (!server.flap_history.suppressed()) return std::nullopt;
   return std::max(now + 1, server.flap_history.ReuseTime(options_.flap_damping));
 }
@@ -229,7 +230,7 @@
   Server& server = entry.second;
   Publish(server, std::nullopt);
   if (server.queued_group) admission_.Remove(entry.first, *server.queued_group);
-  if (server.reason == Reason::kSuppressed) groups_.RemoveSuppressed(server.suppressed_group);
+  if (server.status == ServerStatus::kSuppressed) groups_.RemoveSuppressed(server.suppressed_group);
   const std::string id = entry.first;
   servers_.erase(id);
   groups_.RemoveEmpty();
@@ -242,7 +243,7 @@
   if (groups.empty()) return;
   for (Entry& entry : servers_) {
     const Server& server = entry.second;
-    if (server.reason != Reason::kSuppressed) continue;
+    if (server.status != ServerStatus::kSuppressed) continue;
     if (groups.contains(AuthoritativeRecord(server.records)->listed.group)) Evaluate(now, entry);
   }
 }
@@ -273,12 +274,12 @@
   return listing;
 }
 
-std::vector<ServerView> Membership::View() const {
+std::vector<ServerView> Membership::ServerViews() const {
   std::vector<ServerView> views;
   for (const auto& [id, server] : servers_) {
     const SourceRecord* authoritative = AuthoritativeRecord(server.records);
     if (!authoritative) continue;
-    ServerView view{authoritative->listed, server.reason, {}, server.reason_since.value_or(0)};
+    ServerView view{authoritative->listed, server.status, {}, server.status_since.value_or(0)};
     view.listed.started_unix_ms = server.process.start_ms;
     for (std::size_t i = 0; i < server.records.size(); ++i) {
       const SourceState state = server.records[i].state;
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -71,7 +71,7 @@
   std::optional<EndpointList> TakeListing();
 
   // All servers of which a source says something, by id.
-  std::vector<ServerView> View() const;
+  std::vector<ServerView> ServerViews() const;
   const Counters& counters() const { return counters_; }
   // The number of servers that are remembered.
   std::size_t size() const { return servers_.size(); }
@@ -85,8 +85,8 @@
     bool admitted = false;            // until it is removed from the list
     std::optional<int> queued_group;  // the group in whose admission queue it waits
     bool conflicting = false;
-    Reason reason = Reason::kAwaitingAdmission;
-    std::optional<Micros> reason_since;     // none until `reason` was first decided
+    ServerStatus status = ServerStatus::kAwaitingAdmission;
+    std::optional<Micros> status_since;     // none until `status` was first decided
     int suppressed_group = 0;               // the group that counts it while it is suppressed
     std::optional<ListedServer> published;  // as last listed
   };
@@ -101,8 +101,8 @@
 
   // Decides a server's state anew from all that is known of it, and publishes and schedules accordingly.
   void Evaluate(Micros now, Entry& entry);
-  Reason DecideReason(const Server& server) const;
-  void SetReason(Micros now, Server& server, Reason reason);
+  ServerStatus DetermineStatus(const Server& server) const;
+  void SetStatus(Micros now, Server& server, ServerStatus status);
   void UpdateConflict(Server& server);
   void UpdateAdmissionQueue(const std::string& id, Server& server);
   std::optional<ListedServer> ListingFor(Micros now, const Server& server) const;
--- a/src/membership/server_view.cpp
+++ b/src/membership/server_view.cpp
@@ -2,17 +2,17 @@
 
 namespace tulipyoke::membership {
 
-const char* ToText(Reason reason) {
-  switch (reason) {
-    case Reason::kInService:
+const char* ToText(ServerStatus status) {
+  switch (status) {
+    case ServerStatus::kInService:
       return "in service";
-    case Reason::kAwaitingAdmission:
+    case ServerStatus::kAwaitingAdmission:
       return "waits to be let in";
-    case Reason::kTerminating:
+    case ServerStatus::kTerminating:
       return "terminating";
-    case Reason::kVanished:
+    case ServerStatus::kVanished:
       return "vanished";
-    case Reason::kSuppressed:
+    case ServerStatus::kSuppressed:
       return "held down for flapping";
   }
   return "";
--- a/src/membership/server_view.hpp
+++ b/src/membership/server_view.hpp
@@ -11,7 +11,7 @@
 namespace tulipyoke::membership {
 
 // Why a server is listed as it is.
-enum class Reason {
+enum class ServerStatus {
   kInService,          // every source that announces it has it in service
   kAwaitingAdmission,  // it is new and not admitted yet
   kTerminating,        // a source announces it as terminating
@@ -19,14 +19,14 @@
   kSuppressed,         // it is suppressed for flapping
 };
 
-// The reason as printed for operators.
-const char* ToText(Reason reason);
+// The status as printed for operators.
+const char* ToText(ServerStatus status);
 
 struct ServerView {
   ListedServer listed;
-  Reason reason = Reason::kInService;
+  ServerStatus status = ServerStatus::kInService;
   std::vector<std::string> sources;  // those with a record of it; a '-' precedes each that drains it
-  Micros since = 0;                  // of `reason`
+  Micros since = 0;                  // of `status`
 };
 
 }  // namespace tulipyoke::membership
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -25,7 +25,7 @@
 constexpr Micros kOriginBeforeStart = 600'000'000;
 
 DispatcherOptions MakeDispatcherOptions(const Config& config, Micros now) {
-  DispatcherOptions options{config.settings,        config.seed, config.failure_domains, config.kinds,
+  DispatcherOptions options{config.settings,        config.seed, config.failure_domains, config.server_kinds,
                             config.connect_timeout, config.trace};
   options.settings.reports_are_floats = false;
   const Micros origin = options.settings.position_epoch;
@@ -35,7 +35,7 @@
 }
 
 UpstreamPoolOptions MakePoolOptions(const Config& config) {
-  return {config.connect_timeout, config.idle_close, QuotaFor(config, kWholeShare).server_connections};
+  return {config.connect_timeout, config.idle_timeout, QuotaFor(config, kWholeShare).server_connections};
 }
 
 ListenerOptions MakeListenerOptions(const Config& config, std::function<void()> before_request) {
@@ -45,7 +45,7 @@
 
 // Empty where the registry is not a source of this router.
 std::string RegistryAddress(const Config& config) {
-  const bool watched = !config.membership.on() || config.membership.RegistryIndex();
+  const bool watched = !config.membership.enabled() || config.membership.RegistryIndex();
   return watched ? config.discovery_address : "";
 }
 
@@ -84,7 +84,7 @@
 }
 
 std::unique_ptr<discovery::DnsSdDiscovery> Server::MakeDirectory() {
-  if (!config_.membership.on()) return nullptr;
+  if (!config_.membership.enabled()) return nullptr;
   return std::make_unique<discovery::DnsSdDiscovery>(
       io_, clock_, config_.membership,
       [this](const EndpointList& listing) { dispatcher_.UpdateEndpoints(clock_.Now(), listing); });
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -29,7 +29,7 @@
   EXPECT_EQ(config.max_sockets, 256);
   EXPECT_EQ(config.admin_address, "");  // there is no such interface by default
   EXPECT_EQ(config.connect_timeout, 125'000);
-  EXPECT_EQ(config.idle_close, 15'000'000);
+  EXPECT_EQ(config.idle_timeout, 15'000'000);
   EXPECT_EQ(config.failure_domains, (std::vector<std::string>{"a", "b"}));
   ASSERT_EQ(config.settings.classes.size(), 1u);
   EXPECT_EQ(config.settings.classes[0].name, "map read");
--- a/tests/membership/event_oracle_test.cpp
+++ b/tests/membership/event_oracle_test.cpp
@@ -69,7 +69,7 @@
   }
   void Add(const ServerView& view) {
     Add(view.listed);
-    Add(std::string_view(ToText(view.reason)));
+    Add(std::string_view(ToText(view.status)));
     Add(static_cast<std::uint64_t>(view.sources.size()));
     for (const std::string& source : view.sources) Add(std::string_view(source));
     Add(static_cast<std::uint64_t>(view.since));
@@ -231,7 +231,7 @@
     hash_.Add(static_cast<std::uint64_t>(members_.size()));
   }
   void CollectView() {
-    for (const ServerView& view : members_.View()) hash_.Add(view);
+    for (const ServerView& view : members_.ServerViews()) hash_.Add(view);
     hash_.Add(members_.counters());
   }
 
