--- a/src/membership/admission_pacer.cpp
+++ b/src/membership/admission_pacer.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr double kMicrosPerSecond = 1e6;
-// Tokens are refilled by fractions: a sum this close to one counts as a whole token.
+// Tokens are refilled in fractions, so rounding errors add up. A balance within this tolerance of one counts
+// as a whole token.
 constexpr double kTokenTolerance = 1e-6;
 
 }  // namespace
@@ -32,23 +33,23 @@
 
 std::optional<std::string> AdmissionPacer::AdmitNext(Micros now, const CountInService& in_service) {
   Refill(now);
-  const auto smallest = std::min_element(
+  const auto fewest_in_service = std::min_element(
       queues_by_group_.begin(), queues_by_group_.end(),
       [&](const auto& a, const auto& b) { return in_service(a.first) < in_service(b.first); });
-  if (smallest == queues_by_group_.end()) return std::nullopt;
-  const bool below_minimum = in_service(smallest->first) < options_.min_in_service;
+  if (fewest_in_service == queues_by_group_.end()) return std::nullopt;
+  const bool below_minimum = in_service(fewest_in_service->first) < options_.min_in_service;
   if (!below_minimum && tokens_ < 1 - kTokenTolerance) return std::nullopt;
   tokens_ = std::max(0.0, tokens_ - 1);
-  std::string id = std::move(smallest->second.front());
-  smallest->second.pop_front();
-  if (smallest->second.empty()) queues_by_group_.erase(smallest);
+  std::string id = std::move(fewest_in_service->second.front());
+  fewest_in_service->second.pop_front();
+  if (fewest_in_service->second.empty()) queues_by_group_.erase(fewest_in_service);
   return id;
 }
 
 std::optional<Micros> AdmissionPacer::NextDue() const {
   if (queues_by_group_.empty()) return std::nullopt;
-  const double missing = std::max(0.0, 1 - tokens_);
-  const double wait = std::ceil(missing / options_.rate_per_second * kMicrosPerSecond);
+  const double missing_tokens = std::max(0.0, 1 - tokens_);
+  const double wait = std::ceil(missing_tokens / options_.rate_per_second * kMicrosPerSecond);
   return refilled_at_.value_or(0) + static_cast<Micros>(wait);
 }
 
--- a/src/membership/group_counts.cpp
+++ b/src/membership/group_counts.cpp
@@ -12,7 +12,7 @@
   return it != counts_.end() && it->second.in_service > it->second.suppressed;
 }
 
-std::set<int> GroupCounts::OverSuppressed() const {
+std::set<int> GroupCounts::OverSuppressedGroups() const {
   std::set<int> groups;
   for (const auto& [group, counts] : counts_) {
     if (counts.suppressed > 0 && counts.in_service <= counts.suppressed) groups.insert(group);
--- a/src/membership/group_counts.hpp
+++ b/src/membership/group_counts.hpp
@@ -1,4 +1,4 @@
-// How many servers of each group are in service and how many are suppressed for flapping.
+// Counts the servers of each group that are in service and those that are suppressed for flapping.
 #ifndef TULIPYOKE_SRC_MEMBERSHIP_GROUP_COUNTS_HPP_
 #define TULIPYOKE_SRC_MEMBERSHIP_GROUP_COUNTS_HPP_
 
@@ -16,12 +16,12 @@
   void RemoveSuppressed(int group) { --counts_[group].suppressed; }
 
   std::size_t InService(int group) const;
-  // Suppression must not empty a group: where as many servers are suppressed as are in service, the cause is
-  // not the single server.
+  // Returns true if one more server of the group may be suppressed. If as many servers are suppressed as are
+  // in service, the cause is probably not the individual server, and suppression must not empty the group.
   bool MaySuppress(int group) const;
-  // The groups with suppressed servers in which no more may be suppressed.
-  std::set<int> OverSuppressed() const;
-  // Forgets groups without any server.
+  // Returns the groups that have suppressed servers, but at most as many in service as suppressed.
+  std::set<int> OverSuppressedGroups() const;
+  // Erases the groups in which no server is in service or suppressed.
   void RemoveEmpty();
 
  private:
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -8,8 +8,9 @@
 
 constexpr Micros kMicrosPerMillisecond = 1000;
 
-// The start of a process that ran before its source's first listing and whose start was not announced.
-constexpr std::int64_t kLongAgoMs = 1;
+// The start time assumed for a process that was already running at its source's first listing, if no start
+// time was announced for it.
+constexpr std::int64_t kAssumedStartMs = 1;
 
 }  // namespace
 
@@ -42,13 +43,13 @@
 }
 
 void Membership::WithdrawMissing(Micros now, std::size_t source, const EndpointList& listing) {
-  std::set<std::string> named;
+  std::set<std::string> listed_ids;
   for (const ListedServer& listed : listing.servers) {
-    if (listed.state != ServerState::kGone) named.insert(listed.id);
+    if (listed.state != ServerState::kGone) listed_ids.insert(listed.id);
   }
   for (Entry& entry : servers_) {
     const bool announced = IsAnnounced(entry.second.records[source].state);
-    if (announced && !named.contains(entry.first)) Withdraw(now, source, entry);
+    if (announced && !listed_ids.contains(entry.first)) Withdraw(now, source, entry);
   }
 }
 
@@ -62,22 +63,22 @@
   const bool first_seen = server.records.empty();
   server.records.resize(sources_.size());
   SourceRecord& record = server.records[source];
-  const SourceState previous = record.state;
+  const SourceState previous_state = record.state;
   const SourceState state =
       listed.state == ServerState::kReady ? SourceState::kReady : SourceState::kDraining;
-  if (state != previous) record.since = now;
+  if (state != previous_state) record.since = now;
   record.state = state;
   record.listed = listed;
-  TrackProcess(now, source, previous, server);
+  TrackProcess(now, source, previous_state, server);
   if (first_seen && !has_listed_[source]) AssumeAdmitted(now, server);
-  if (previous == SourceState::kVanished && state == SourceState::kReady) ++counters_.returned;
+  if (previous_state == SourceState::kVanished && state == SourceState::kReady) ++counters_.returned;
   Evaluate(now, entry);
 }
 
 void Membership::Withdraw(Micros now, std::size_t source, Entry& entry) {
   Server& server = entry.second;
   SourceRecord& record = server.records[source];
-  // A draining server was expected to go; that is no flapping.
+  // The withdrawal of a draining server is expected and does not count as flapping.
   const bool unexpected = record.state == SourceState::kReady;
   if (unexpected && server.flap_history.RecordWithdrawal(options_.flap_damping, now)) ++counters_.suppressed;
   record.state = SourceState::kVanished;
@@ -86,19 +87,19 @@
   Evaluate(now, entry);
 }
 
-void Membership::TrackProcess(Micros now, std::size_t source, SourceState previous, Server& server) {
-  const ProcessChange change = DetectRestart(now, server.records, source, previous, server.process);
+void Membership::TrackProcess(Micros now, std::size_t source, SourceState previous_state, Server& server) {
+  const ProcessChange change = DetectRestart(now, server.records, source, previous_state, server.process);
   if (change.restarted) ++counters_.restarts;
   if (change.moved) ++counters_.moved;
 }
 
-// A source's first listing names servers that have been in service for a while, unless it says otherwise;
-// only servers that appear later wait for admission.
+// The servers in a source's first listing are assumed to be in service already, unless their start time says
+// that they are still cold. Only servers that appear later wait for admission.
 void Membership::AssumeAdmitted(Micros now, Server& server) {
   const bool cold = server.process.start_ms * kMicrosPerMillisecond > now - options_.warm_up_time;
   if (cold) return;
   server.admitted = true;
-  if (server.process.start_ms == 0) server.process.start_ms = kLongAgoMs;
+  if (server.process.start_ms == 0) server.process.start_ms = kAssumedStartMs;
 }
 
 void Membership::RemoveSource(Micros now, std::size_t source) {
@@ -106,7 +107,7 @@
     SourceRecords& records = entry.second.records;
     SourceRecord removed = std::exchange(records[source], SourceRecord());
     if (removed.state == SourceState::kUnknown) continue;
-    // A server that no other source announces has lost its last announcement and must not serve on.
+    // A server that no other source announces has lost its last announcement and must not stay in service.
     if (IsAnnounced(removed.state) && !IsAnnouncedByAny(records)) {
       records[source] = {SourceState::kVanished, std::move(removed.listed), now};
     }
@@ -127,7 +128,7 @@
   UpdateConflict(server);
   ServerStatus status = DetermineStatus(server);
   if (status == ServerStatus::kAwaitingAdmission && server.published) {
-    // It is still listed as draining: a server that returns is not a new one.
+    // The server is still published as draining, so it has returned and is not new.
     server.admitted = true;
     status = ServerStatus::kInService;
   }
@@ -171,11 +172,12 @@
   server.queued_group = group;
 }
 
-// A server that is not in service is listed only if it was before, so that its requests can finish.
+// A server that is not in service is listed as draining only if it is already published, so that its requests
+// can finish.
 std::optional<ListedServer> Membership::ListingFor(Micros now, const Server& server) const {
   const bool in_service = server.status == ServerStatus::kInService;
-  const bool drains = server.published && server.vanish_timer.IsListed(options_.vanish, now);
-  if (!in_service && !drains) return std::nullopt;
+  const bool still_draining = server.published && server.vanish_timer.IsListed(options_.vanish, now);
+  if (!in_service && !still_draining) return std::nullopt;
   ListedServer listed = AuthoritativeRecord(server.records)->listed;
   listed.started_unix_ms = server.process.start_ms;
   listed.state = in_service ? ServerState::kReady : ServerState::kDraining;
@@ -192,8 +194,8 @@
   if (server.published == listed) return;
   const std::optional<ListedServer> before = std::exchange(server.published, std::move(listed));
   const std::optional<ListedServer>& after = server.published;
-  // What is known of a server, such as its replication position, must not be carried over to another group or
-  // address: it is removed first and added as a new one.
+  // State kept per server, such as its replication position, must not carry over to another group or address.
+  // The server is therefore removed and then added as a new one.
   if (before && (!after || after->group != before->group || after->address != before->address)) {
     changes_.push_back(*before);
     changes_.back().state = ServerState::kGone;
@@ -208,25 +210,26 @@
 }
 
 void Membership::Tick(Micros now) {
-  while (const std::optional<std::string> id = wakeups_.PopDue(now)) Wake(now, *servers_.find(*id));
-  ReleaseOverSuppressed(now);
-  AdmitWaiting(now);
+  while (const std::optional<std::string> id = wakeups_.PopDue(now)) HandleWakeup(now, *servers_.find(*id));
+  ReevaluateOverSuppressed(now);
+  AdmitQueued(now);
 }
 
-void Membership::Wake(Micros now, Entry& entry) {
-  if (IsForgotten(now, entry.second)) return Forget(entry);
+void Membership::HandleWakeup(Micros now, Entry& entry) {
+  if (ShouldErase(now, entry.second)) return EraseServer(entry);
   Evaluate(now, entry);
-  // Another source still announces it: it stays drained until one of the sources changes its record.
+  // If another source still announces the server, it stays drained until a source changes its record, so
+  // there is nothing to wake up for.
   const std::optional<Micros> next = wakeups_.TimeOf(entry.first);
   if (next && *next <= now) wakeups_.Set(entry.first, std::nullopt);
 }
 
-bool Membership::IsForgotten(Micros now, const Server& server) const {
+bool Membership::ShouldErase(Micros now, const Server& server) const {
   if (!AuthoritativeRecord(server.records)) return true;
   return !IsAnnouncedByAny(server.records) && server.vanish_timer.IsExpired(options_.vanish, now);
 }
 
-void Membership::Forget(Entry& entry) {
+void Membership::EraseServer(Entry& entry) {
   Server& server = entry.second;
   Publish(server, std::nullopt);
   if (server.queued_group) admission_.Remove(entry.first, *server.queued_group);
@@ -236,10 +239,10 @@
   groups_.RemoveEmpty();
 }
 
-// Where more servers of a group are suppressed than may be, they are evaluated again: the others must not
-// carry the whole load.
-void Membership::ReleaseOverSuppressed(Micros now) {
-  const std::set<int> groups = groups_.OverSuppressed();
+// Evaluates the suppressed servers of groups that have too many of them again, so that the remaining servers
+// do not carry the whole load.
+void Membership::ReevaluateOverSuppressed(Micros now) {
+  const std::set<int> groups = groups_.OverSuppressedGroups();
   if (groups.empty()) return;
   for (Entry& entry : servers_) {
     const Server& server = entry.second;
@@ -248,7 +251,7 @@
   }
 }
 
-void Membership::AdmitWaiting(Micros now) {
+void Membership::AdmitQueued(Micros now) {
   const auto in_service = [this](int group) { return groups_.InService(group); };
   while (const std::optional<std::string> id = admission_.AdmitNext(now, in_service)) {
     Entry& entry = *servers_.find(*id);
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -1,10 +1,10 @@
-// One view of the servers from any number of sources: the platform's registry, DNS-SD zones, static lists in
-// the configuration. Combines what the sources say (source_precedence), drains servers that vanish
-// (vanish_timer), detects restarts (restart_detection), damps flapping (flap_damping) and paces the admission
-// of new servers (admission_pacer). The result is a stream of listings; which server takes a request is the
-// decision module's matter.
+// Merges the servers announced by any number of sources (the platform's registry, DNS-SD zones, static lists
+// in the configuration) into one stream of listings. Applies the precedence of the sources
+// (source_precedence), drains servers that vanish (vanish_timer), detects restarts (restart_detection), damps
+// flapping (flap_damping) and limits the rate of admission of new servers (admission_pacer). The decision
+// module chooses which server takes a request.
 //
-// No I/O and no clock of its own. Times are microseconds since the Unix epoch and must not decrease.
+// Does no I/O and reads no clock. Times are in microseconds since the Unix epoch and must not decrease.
 #ifndef TULIPYOKE_SRC_MEMBERSHIP_MEMBERSHIP_HPP_
 #define TULIPYOKE_SRC_MEMBERSHIP_MEMBERSHIP_HPP_
 
@@ -30,50 +30,50 @@
 
 struct Options {
   VanishOptions vanish;
-  std::size_t max_servers = 20'000;  // over all sources; further ones are ignored
-  Micros warm_up_time = 20'000'000;  // a process that started less long ago is cold
+  std::size_t max_servers = 20'000;  // from all sources; further servers are ignored
+  Micros warm_up_time = 20'000'000;  // a process that started more recently than this is cold
   FlapDampingOptions flap_damping;
   AdmissionOptions admission;
 };
 
-// Events since the start.
+// Numbers of events since the start.
 struct Counters {
-  std::uint64_t vanished = 0;    // announcements withdrawn
-  std::uint64_t returned = 0;    // announced in service again by the source from which they had vanished
-  std::uint64_t restarts = 0;    // new processes under a known name
-  std::uint64_t moved = 0;       // changes of address
-  std::uint64_t conflicts = 0;   // servers that one source drained while another had them in service
-  std::uint64_t suppressed = 0;  // suppressions for flapping
-  std::uint64_t admitted = 0;    // servers admitted after waiting
-  std::uint64_t over_limit = 0;  // announcements ignored because of Options::max_servers
+  std::uint64_t vanished = 0;    // announcements that a source withdrew
+  std::uint64_t returned = 0;    // vanished servers that the same source announced as in service again
+  std::uint64_t restarts = 0;    // new processes under the name of a known server
+  std::uint64_t moved = 0;       // changes of a server's address
+  std::uint64_t conflicts = 0;   // times that a server became drained by one source but not by another
+  std::uint64_t suppressed = 0;  // suppressions for flapping that were started
+  std::uint64_t admitted = 0;    // servers admitted from the admission queue
+  std::uint64_t over_limit = 0;  // announcements ignored because Options::max_servers was reached
 };
 
-// Not thread-safe. Sources are given by their index in the constructor's list.
+// Not thread-safe. A source is identified by its index in the list passed to the constructor.
 class Membership {
  public:
-  // Sources in the order of precedence: where two announce different addresses for one server, the first
-  // one's holds; any of them may drain it.
+  // `sources` are the names of the sources in order of precedence. If several sources announce a server, the
+  // first of them determines its address, but any source can drain it.
   Membership(const Options& options, std::vector<std::string> sources);
 
-  // Takes in what a source has listed. From a complete listing all servers that it does not name have
-  // vanished, as has an entry that is gone.
+  // Applies a listing from a source. A server has vanished if a complete listing omits it or if its entry has
+  // the state kGone.
   void ApplyListing(Micros now, std::size_t source, const EndpointList& listing);
-  // Takes in a listing of a source from before this process started: its servers are known, but the next
-  // listing is still the source's first.
+  // Applies a listing that the source gave before this process started. The next call of ApplyListing still
+  // counts as the source's first listing.
   void RestoreListing(Micros now, std::size_t source, const EndpointList& listing);
-  // Discards all records of a source, drains included. A server that no other source announces vanishes.
+  // Discards all records of a source, including its drains. A server that no other source announces vanishes.
   void RemoveSource(Micros now, std::size_t source);
-  // Does what is due: removals, the end of suppressions, admissions.
+  // Performs the work that is due: removals, ends of suppressions and admissions.
   void Tick(Micros now);
-  // When Tick should be called next; none if nothing is pending.
+  // Returns when Tick must be called next; nothing if no work is pending.
   std::optional<Micros> NextDue() const;
-  // The changes since the last call, as an incremental listing; none if there are none.
+  // Returns the changes since the last call as an incremental listing; nothing if there are no changes.
   std::optional<EndpointList> TakeListing();
 
-  // All servers of which a source says something, by id.
+  // Returns the servers of which a source has a record, ordered by id.
   std::vector<ServerView> ServerViews() const;
   const Counters& counters() const { return counters_; }
-  // The number of servers that are remembered.
+  // Returns the number of stored servers, including vanished ones that have not expired.
   std::size_t size() const { return servers_.size(); }
 
  private:
@@ -82,13 +82,13 @@
     FlapHistory flap_history;
     ProcessIdentity process;
     VanishTimer vanish_timer;
-    bool admitted = false;            // until it is removed from the list
-    std::optional<int> queued_group;  // the group in whose admission queue it waits
+    bool admitted = false;            // reset when the server is removed from the list
+    std::optional<int> queued_group;  // the group in whose admission queue the server waits
     bool conflicting = false;
     ServerStatus status = ServerStatus::kAwaitingAdmission;
-    std::optional<Micros> status_since;     // none until `status` was first decided
-    int suppressed_group = 0;               // the group that counts it while it is suppressed
-    std::optional<ListedServer> published;  // as last listed
+    std::optional<Micros> status_since;     // not set until `status` is first determined
+    int suppressed_group = 0;               // the group in which the server is counted while suppressed
+    std::optional<ListedServer> published;  // the server as last listed
   };
   using Entry = std::pair<const std::string, Server>;
 
@@ -96,10 +96,10 @@
   void WithdrawMissing(Micros now, std::size_t source, const EndpointList& listing);
   void Announce(Micros now, std::size_t source, const ListedServer& listed);
   void Withdraw(Micros now, std::size_t source, Entry& entry);
-  void TrackProcess(Micros now, std::size_t source, SourceState previous, Server& server);
+  void TrackProcess(Micros now, std::size_t source, SourceState previous_state, Server& server);
   void AssumeAdmitted(Micros now, Server& server);
 
-  // Decides a server's state anew from all that is known of it, and publishes and schedules accordingly.
+  // Determines a server's status from its records, publishes it and schedules the next evaluation.
   void Evaluate(Micros now, Entry& entry);
   ServerStatus DetermineStatus(const Server& server) const;
   void SetStatus(Micros now, Server& server, ServerStatus status);
@@ -109,22 +109,22 @@
   std::optional<Micros> NextEvaluation(Micros now, const Server& server) const;
   void Publish(Server& server, std::optional<ListedServer> listed);
 
-  void Wake(Micros now, Entry& entry);
-  bool IsForgotten(Micros now, const Server& server) const;
-  void Forget(Entry& entry);
-  void ReleaseOverSuppressed(Micros now);
-  void AdmitWaiting(Micros now);
+  void HandleWakeup(Micros now, Entry& entry);
+  bool ShouldErase(Micros now, const Server& server) const;
+  void EraseServer(Entry& entry);
+  void ReevaluateOverSuppressed(Micros now);
+  void AdmitQueued(Micros now);
 
   Options options_;
   std::vector<std::string> sources_;
-  std::vector<bool> has_listed_;  // by source: whether it has given a listing since the start
+  std::vector<bool> has_listed_;  // by source: true once it has given a listing
   std::map<std::string, Server> servers_;
   GroupCounts groups_;
   AdmissionPacer admission_;
   WakeupSchedule wakeups_;
   Counters counters_;
-  std::vector<ListedServer> changes_;  // not taken yet
-  std::uint64_t version_ = 0;          // of the last listing taken
+  std::vector<ListedServer> changes_;  // not yet returned by TakeListing
+  std::uint64_t version_ = 0;          // of the last listing that TakeListing returned
 };
 
 }  // namespace tulipyoke::membership
--- a/src/membership/restart_detection.cpp
+++ b/src/membership/restart_detection.cpp
@@ -7,8 +7,8 @@
 
 constexpr Micros kMicrosPerMillisecond = 1000;
 
-// Another source's record that the former process vanished says nothing of the new one.
-void DiscardRecordsOfFormerProcess(SourceRecords& records, std::int64_t start_ms) {
+// A record that the previous process vanished does not apply to the new process.
+void DiscardRecordsOfPreviousProcess(SourceRecords& records, std::int64_t start_ms) {
   for (SourceRecord& record : records) {
     const bool vanished = record.state == SourceState::kVanished;
     if (vanished && record.since <= start_ms * kMicrosPerMillisecond) record.state = SourceState::kUnknown;
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-ProcessChange DetectRestart(Micros now, SourceRecords& records, std::size_t source, SourceState previous,
-                            ProcessIdentity& process) {
+ProcessChange DetectRestart(Micros now, SourceRecords& records, std::size_t source,
+                            SourceState previous_state, ProcessIdentity& process) {
   const std::string address = AuthoritativeRecord(records)->listed.address;
   const std::int64_t announced_start_ms = records[source].listed.started_unix_ms;
   const bool known = !process.address.empty();
@@ -28,8 +28,8 @@
     change.restarted = known && announced_start_ms > process.start_ms;
     process.start_ms = std::max(process.start_ms, announced_start_ms);
     process.announced_start_ms = announced_start_ms;
-    DiscardRecordsOfFormerProcess(records, announced_start_ms);
-  } else if (change.moved || (previous == SourceState::kVanished && announced_start_ms == 0)) {
+    DiscardRecordsOfPreviousProcess(records, announced_start_ms);
+  } else if (change.moved || (previous_state == SourceState::kVanished && announced_start_ms == 0)) {
     change.restarted = true;
     process.start_ms = now / kMicrosPerMillisecond;
   }
--- a/src/membership/restart_detection.hpp
+++ b/src/membership/restart_detection.hpp
@@ -1,5 +1,5 @@
-// Tells whether the process behind a server's name is still the one that was there before. A process that
-// just started must not be taken for its warm predecessor: in doubt it is a new one.
+// Detects whether the process behind a server's name has been replaced. A process that has just started must
+// not be mistaken for its warm predecessor, so in case of doubt it is treated as new.
 #ifndef TULIPYOKE_SRC_MEMBERSHIP_RESTART_DETECTION_HPP_
 #define TULIPYOKE_SRC_MEMBERSHIP_RESTART_DETECTION_HPP_
 
@@ -12,11 +12,11 @@
 
 namespace tulipyoke::membership {
 
-// The process that is believed to serve under a server's name.
+// The process that is assumed to run under a server's name.
 struct ProcessIdentity {
   std::string address;                  // empty: not known yet
   std::int64_t start_ms = 0;            // Unix time in milliseconds, announced or inferred; 0: not known
-  std::int64_t announced_start_ms = 0;  // the latest start that any source announced; 0: none did
+  std::int64_t announced_start_ms = 0;  // the latest start time that any source announced; 0: none
 };
 
 struct ProcessChange {
@@ -24,11 +24,11 @@
   bool moved = false;  // to another address
 };
 
-// Updates the identity after `records[source]` was announced; `previous` is that record's state before. A
-// later start time than any before it also discards the records of sources from which the former process had
-// vanished.
-ProcessChange DetectRestart(Micros now, SourceRecords& records, std::size_t source, SourceState previous,
-                            ProcessIdentity& process);
+// Updates `process` after `records[source]` was announced. `previous_state` is the state of that record
+// before the announcement. If the announced start time is later than any before it, vanished records that are
+// not newer than it are reset to kUnknown, since they refer to the previous process.
+ProcessChange DetectRestart(Micros now, SourceRecords& records, std::size_t source,
+                            SourceState previous_state, ProcessIdentity& process);
 
 }  // namespace tulipyoke::membership
 
--- a/src/membership/server_view.hpp
+++ b/src/membership/server_view.hpp
@@ -1,4 +1,4 @@
-// The state of a server as shown to operators.
+// The status of a server as reported to operators.
 #ifndef TULIPYOKE_SRC_MEMBERSHIP_SERVER_VIEW_HPP_
 #define TULIPYOKE_SRC_MEMBERSHIP_SERVER_VIEW_HPP_
 
@@ -10,23 +10,23 @@
 
 namespace tulipyoke::membership {
 
-// Why a server is listed as it is.
+// The status that determines how a server is listed.
 enum class ServerStatus {
-  kInService,          // every source that announces it has it in service
-  kAwaitingAdmission,  // it is new and not admitted yet
+  kInService,          // admitted, and no source drains it
+  kAwaitingAdmission,  // new and not yet admitted
   kTerminating,        // a source announces it as terminating
-  kVanished,           // a source that announced it does so no more
-  kSuppressed,         // it is suppressed for flapping
+  kVanished,           // a source that announced it no longer does
+  kSuppressed,         // suppressed for flapping
 };
 
-// The status as printed for operators.
+// Returns the text that is printed for operators.
 const char* ToText(ServerStatus status);
 
 struct ServerView {
   ListedServer listed;
   ServerStatus status = ServerStatus::kInService;
-  std::vector<std::string> sources;  // those with a record of it; a '-' precedes each that drains it
-  Micros since = 0;                  // of `status`
+  std::vector<std::string> sources;  // sources with a record of the server; '-' prefix: drains it
+  Micros since = 0;                  // time at which `status` was set
 };
 
 }  // namespace tulipyoke::membership
--- a/src/membership/source_precedence.hpp
+++ b/src/membership/source_precedence.hpp
@@ -1,5 +1,5 @@
-// What the sources say of one server, and which of them prevails: any source may drain a server, and the
-// first source that announces it says where it is.
+// The records that the sources have of one server, and the rules for merging them: any source can drain a
+// server, and the first source that announces it determines its address.
 #ifndef TULIPYOKE_SRC_MEMBERSHIP_SOURCE_PRECEDENCE_HPP_
 #define TULIPYOKE_SRC_MEMBERSHIP_SOURCE_PRECEDENCE_HPP_
 
@@ -12,33 +12,33 @@
 
 // The state of a server according to one source.
 enum class SourceState {
-  kUnknown,   // the source says nothing of it
-  kReady,     // announced, in service
-  kDraining,  // announced, terminating
-  kVanished,  // was announced and is not any more
+  kUnknown,   // the source has no record of it
+  kReady,     // announced as in service
+  kDraining,  // announced as terminating
+  kVanished,  // was announced and no longer is
 };
 
-// True if the source lists the server at present.
+// Returns true if the source currently announces the server.
 bool IsAnnounced(SourceState state);
-// True if this state alone keeps new requests from the server.
+// Returns true if this state in any record keeps new requests away from the server.
 bool IsDrained(SourceState state);
 
 // One source's record of one server.
 struct SourceRecord {
   SourceState state = SourceState::kUnknown;
-  ListedServer listed;  // as last announced
-  Micros since = 0;     // of `state`
+  ListedServer listed;  // the server as last announced
+  Micros since = 0;     // time at which `state` was set
 };
 
-// The records of one server, in the order of the sources' precedence.
+// The records of one server, in order of the sources' precedence.
 using SourceRecords = std::vector<SourceRecord>;
 
 bool HasState(const SourceRecords& records, SourceState state);
 bool IsAnnouncedByAny(const SourceRecords& records);
-// True if one source drains the server while another has it in service.
+// Returns true if one source drains the server while another has it in service.
 bool IsConflicting(const SourceRecords& records);
-// The record that says where the server is: that of the first source which announces it, else the one that
-// vanished last. Null if no source says anything of it. Owned by `records`.
+// Returns the record that determines the server's address: that of the first source that announces it,
+// otherwise the one that vanished last, or null if all records are unknown. The result points into `records`.
 const SourceRecord* AuthoritativeRecord(const SourceRecords& records);
 
 }  // namespace tulipyoke::membership
--- a/src/membership/vanish_timer.hpp
+++ b/src/membership/vanish_timer.hpp
@@ -1,5 +1,5 @@
-// What follows when a server vanishes: it stays listed as draining for a while, is then removed from the
-// list, and is forgotten later still.
+// Times the removal of a vanished server: it stays listed as draining for the removal delay, is then removed
+// from the list, and expires after the retention.
 #ifndef TULIPYOKE_SRC_MEMBERSHIP_VANISH_TIMER_HPP_
 #define TULIPYOKE_SRC_MEMBERSHIP_VANISH_TIMER_HPP_
 
@@ -10,23 +10,23 @@
 namespace tulipyoke::membership {
 
 struct VanishOptions {
-  // How long a vanished server stays listed as draining, so that its requests can finish and an early return
-  // finds its state unchanged. At least the longest deadline and the drain timeout.
+  // How long a vanished server stays listed as draining, so that its requests can finish and its state is
+  // still there if it returns early. At least the longest deadline and the drain timeout.
   Micros removal_delay = 10'000'000;
-  // How long after that a server which no source announces is remembered, with its drains and its flapping.
+  // How long a server that no source announces is stored after that, with its drains and its flap history.
   Micros retention = 120'000'000;
 };
 
-// The time since which one server has been drained for having vanished. Times are microseconds.
+// Runs while one server has vanished. Times are in microseconds.
 class VanishTimer {
  public:
-  // Starts the timer if the server has vanished and it does not run yet; stops it if the server has not.
+  // Starts the timer if the server has vanished and the timer is not running; stops it if not.
   void Update(bool vanished, Micros now);
-  // True if the timer does not run or the removal delay is not over.
+  // Returns true if the timer is not running or the removal delay has not elapsed.
   bool IsListed(const VanishOptions& options, Micros now) const;
-  // True if the timer runs and the retention is over too.
+  // Returns true if the timer is running and both the removal delay and the retention have elapsed.
   bool IsExpired(const VanishOptions& options, Micros now) const;
-  // When IsListed or IsExpired changes next; none if the timer does not run.
+  // Returns when IsListed or, after the removal, IsExpired changes; nothing if the timer is not running.
   std::optional<Micros> NextChange(const VanishOptions& options, Micros now) const;
 
  private:
--- a/src/membership/wakeup_schedule.hpp
+++ b/src/membership/wakeup_schedule.hpp
@@ -1,4 +1,4 @@
-// The times at which servers are to be evaluated again, at most one for each server.
+// Schedules when servers are to be evaluated again, with at most one time per server.
 #ifndef TULIPYOKE_SRC_MEMBERSHIP_WAKEUP_SCHEDULE_HPP_
 #define TULIPYOKE_SRC_MEMBERSHIP_WAKEUP_SCHEDULE_HPP_
 
@@ -14,18 +14,18 @@
 
 class WakeupSchedule {
  public:
-  // Replaces a server's time; none cancels it.
+  // Sets or replaces a server's time; std::nullopt cancels it.
   void Set(const std::string& id, std::optional<Micros> time);
-  // A server's time; none if nothing is scheduled for it.
+  // Returns a server's time; nothing if the server is not scheduled.
   std::optional<Micros> TimeOf(const std::string& id) const;
-  // Takes the earliest server whose time has come out of the schedule.
+  // Removes the earliest server that is due from the schedule and returns it; nothing if none is due.
   std::optional<std::string> PopDue(Micros now);
-  // The earliest time; none if the schedule is empty.
+  // Returns the earliest time; nothing if the schedule is empty.
   std::optional<Micros> NextDue() const;
 
  private:
   std::map<std::string, Micros> time_by_id_;
-  std::set<std::pair<Micros, std::string>> by_time_;  // the same, ordered by time and then id
+  std::set<std::pair<Micros, std::string>> by_time_;  // the same entries, ordered by time and then by id
 };
 
 }  // namespace tulipyoke::membership
--- a/tests/membership/flap_damping_test.cpp
+++ b/tests/membership/flap_damping_test.cpp
@@ -1,4 +1,4 @@
-// The penalty of one flapping server.
+// Tests the flap penalty of one server.
 #include "src/membership/flap_damping.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 constexpr Micros kSecond = 1'000'000;
 
-FlapDampingOptions ShortOptions() {
+FlapDampingOptions MakeOptions() {
   FlapDampingOptions options;
   options.suppress_threshold = 1.5;
   options.reuse_threshold = 1;
@@ -17,8 +17,8 @@
   return options;
 }
 
-TEST(FlapHistory, IsSuppressedOverTheThresholdAndReportsItOnce) {
-  const FlapDampingOptions options = ShortOptions();
+TEST(FlapHistory, IsSuppressedAboveTheThresholdAndReportsItOnce) {
+  const FlapDampingOptions options = MakeOptions();
   FlapHistory history;
   EXPECT_FALSE(history.RecordWithdrawal(options, kSecond));
   EXPECT_FALSE(history.suppressed());
@@ -27,24 +27,24 @@
   EXPECT_TRUE(history.suppressed());
 }
 
-TEST(FlapHistory, IsReusedWhenThePenaltyHasDecayed) {
-  const FlapDampingOptions options = ShortOptions();
+TEST(FlapHistory, SuppressionEndsWhenThePenaltyHasDecayed) {
+  const FlapDampingOptions options = MakeOptions();
   FlapHistory history;
   history.RecordWithdrawal(options, kSecond);
   history.RecordWithdrawal(options, kSecond);
-  const Micros reuse = kSecond + options.half_life;  // a penalty of 2 decays to 1
-  EXPECT_EQ(history.ReuseTime(options), reuse);
-  history.Update(options, reuse - 1);
+  const Micros reuse_time = kSecond + options.half_life;  // the penalty decays from 2 to 1
+  EXPECT_EQ(history.ReuseTime(options), reuse_time);
+  history.Update(options, reuse_time - 1);
   EXPECT_TRUE(history.suppressed());
-  history.Update(options, reuse);
+  history.Update(options, reuse_time);
   EXPECT_FALSE(history.suppressed());
 }
 
 TEST(FlapHistory, ThePenaltyIsBounded) {
-  const FlapDampingOptions options = ShortOptions();
+  const FlapDampingOptions options = MakeOptions();
   FlapHistory history;
   for (int i = 0; i < 100; ++i) history.RecordWithdrawal(options, kSecond);
-  EXPECT_EQ(history.ReuseTime(options), kSecond + 2 * options.half_life);  // from 4 to 1
+  EXPECT_EQ(history.ReuseTime(options), kSecond + 2 * options.half_life);  // the penalty decays from 4 to 1
 }
 
 }  // namespace
--- a/tests/membership/group_counts_test.cpp
+++ b/tests/membership/group_counts_test.cpp
@@ -1,4 +1,4 @@
-// The counts on which suppression depends.
+// Tests the counts that limit suppression.
 #include "src/membership/group_counts.hpp"
 
 #include <gtest/gtest.h>
@@ -9,26 +9,26 @@
 namespace {
 
 TEST(GroupCounts, SuppressionIsLimitedToHalfOfAGroup) {
-  GroupCounts groups;
-  EXPECT_FALSE(groups.MaySuppress(1)) << "an unknown group has no server to spare";
-  groups.AddInService(1);
-  groups.AddInService(1);
-  EXPECT_TRUE(groups.MaySuppress(1));
-  groups.RemoveInService(1);
-  groups.AddSuppressed(1);
-  EXPECT_FALSE(groups.MaySuppress(1));
-  EXPECT_EQ(groups.InService(1), 1u);
-  EXPECT_EQ(groups.OverSuppressed(), std::set<int>{1});
+  GroupCounts counts;
+  EXPECT_FALSE(counts.MaySuppress(1)) << "an unknown group has no server to spare";
+  counts.AddInService(1);
+  counts.AddInService(1);
+  EXPECT_TRUE(counts.MaySuppress(1));
+  counts.RemoveInService(1);
+  counts.AddSuppressed(1);
+  EXPECT_FALSE(counts.MaySuppress(1));
+  EXPECT_EQ(counts.InService(1), 1u);
+  EXPECT_EQ(counts.OverSuppressedGroups(), std::set<int>{1});
 }
 
-TEST(GroupCounts, AnEmptyGroupIsForgotten) {
-  GroupCounts groups;
-  groups.AddInService(1);
-  groups.AddSuppressed(2);
-  groups.RemoveInService(1);
-  groups.RemoveEmpty();
-  EXPECT_EQ(groups.InService(1), 0u);
-  EXPECT_EQ(groups.OverSuppressed(), std::set<int>{2});
+TEST(GroupCounts, AnEmptyGroupIsErased) {
+  GroupCounts counts;
+  counts.AddInService(1);
+  counts.AddSuppressed(2);
+  counts.RemoveInService(1);
+  counts.RemoveEmpty();
+  EXPECT_EQ(counts.InService(1), 0u);
+  EXPECT_EQ(counts.OverSuppressedGroups(), std::set<int>{2});
 }
 
 }  // namespace
--- a/tests/membership/membership_fixture.hpp
+++ b/tests/membership/membership_fixture.hpp
@@ -1,4 +1,4 @@
-// What the tests of the membership view share: a view of three sources with a manual clock.
+// The fixture of the Membership tests: a Membership with three sources and a manual clock.
 #ifndef TULIPYOKE_TESTS_MEMBERSHIP_MEMBERSHIP_FIXTURE_HPP_
 #define TULIPYOKE_TESTS_MEMBERSHIP_MEMBERSHIP_FIXTURE_HPP_
 
@@ -20,7 +20,7 @@
 constexpr Micros kSecond = 1'000'000;
 constexpr Micros kStart = 1'700'000'000 * kSecond;
 
-inline ListedServer ServerWith(const std::string& id, std::int64_t started_ms = 0,
+inline ListedServer MakeServer(const std::string& id, std::int64_t started_ms = 0,
                                const std::string& address = "10.0.0.1:1",
                                ServerState state = ServerState::kReady) {
   ListedServer server;
@@ -31,34 +31,34 @@
   return server;
 }
 
-// Applies what sources say and keeps the servers as a consumer of the listings would know them.
+// Applies listings of sources and keeps the published servers, as a consumer of the listings would.
 class MembershipTest : public testing::Test {
  protected:
-  void ApplyComplete(std::size_t source, std::vector<ListedServer> servers) {
-    members_.ApplyListing(now_, source, {1, true, std::move(servers)});
-    Collect();
+  void ApplyCompleteListing(std::size_t source, std::vector<ListedServer> servers) {
+    membership_.ApplyListing(now_, source, {1, true, std::move(servers)});
+    TakeListings();
   }
   void Announce(std::size_t source, ListedServer server) {
-    members_.ApplyListing(now_, source, {1, false, {std::move(server)}});
-    Collect();
+    membership_.ApplyListing(now_, source, {1, false, {std::move(server)}});
+    TakeListings();
   }
   void Withdraw(std::size_t source, const std::string& id) {
-    Announce(source, ServerWith(id, 0, "", ServerState::kGone));
+    Announce(source, MakeServer(id, 0, "", ServerState::kGone));
   }
-  // Advances the clock and runs what becomes due on the way.
-  void Advance(Micros time) {
-    const Micros end = now_ + time;
-    for (auto due = members_.NextDue(); due && *due <= end; due = members_.NextDue()) {
+  // Advances the clock step by step and calls Tick whenever work becomes due.
+  void Advance(Micros duration) {
+    const Micros end = now_ + duration;
+    for (auto due = membership_.NextDue(); due && *due <= end; due = membership_.NextDue()) {
       now_ = std::max(now_ + 1, *due);
-      members_.Tick(now_);
-      Collect();
+      membership_.Tick(now_);
+      TakeListings();
     }
     now_ = end;
-    members_.Tick(now_);
-    Collect();
+    membership_.Tick(now_);
+    TakeListings();
   }
-  void Collect() {
-    while (const std::optional<EndpointList> listing = members_.TakeListing()) {
+  void TakeListings() {
+    while (const std::optional<EndpointList> listing = membership_.TakeListing()) {
       EXPECT_FALSE(listing->complete);
       for (const ListedServer& server : listing->servers) {
         if (server.state == ServerState::kGone) {
@@ -70,7 +70,7 @@
       }
     }
   }
-  std::size_t InService() const {
+  std::size_t InServiceCount() const {
     return static_cast<std::size_t>(std::count_if(published_.begin(), published_.end(), [](const auto& item) {
       return item.second.state == ServerState::kReady;
     }));
@@ -79,7 +79,7 @@
   bool IsDraining(const std::string& id) const { return IsPublishedAs(id, ServerState::kDraining); }
 
   Micros now_ = kStart;
-  Membership members_{Options(), {"registry", "derby", "nottingham"}};
+  Membership membership_{Options(), {"registry", "derby", "nottingham"}};
   std::map<std::string, ListedServer> published_;  // by id
   int removals_ = 0;
 
--- a/tests/membership/precedence_test.cpp
+++ b/tests/membership/precedence_test.cpp
@@ -1,40 +1,40 @@
-// Which source prevails where they disagree.
+// Tests the precedence of sources that conflict.
 #include "tests/membership/membership_fixture.hpp"
 
 namespace tulipyoke::membership {
 namespace {
 
-TEST_F(MembershipTest, AnySourceMayDrainAServer) {
-  const ListedServer draining = ServerWith("a", 1000, "10.0.0.1:1", ServerState::kDraining);
-  for (const std::size_t drains : {std::size_t{0}, std::size_t{1}}) {
-    const std::size_t other = 1 - drains;
-    ApplyComplete(drains, {ServerWith("a", 1000), ServerWith("b", 1000)});
-    ApplyComplete(other, {ServerWith("a", 1000), ServerWith("b", 1000)});
+TEST_F(MembershipTest, AnySourceCanDrainAServer) {
+  const ListedServer draining = MakeServer("a", 1000, "10.0.0.1:1", ServerState::kDraining);
+  for (const std::size_t draining_source : {std::size_t{0}, std::size_t{1}}) {
+    const std::size_t other_source = 1 - draining_source;
+    ApplyCompleteListing(draining_source, {MakeServer("a", 1000), MakeServer("b", 1000)});
+    ApplyCompleteListing(other_source, {MakeServer("a", 1000), MakeServer("b", 1000)});
     ASSERT_TRUE(IsInService("a"));
-    Announce(drains, draining);
+    Announce(draining_source, draining);
     EXPECT_TRUE(IsDraining("a"));
-    Announce(other, ServerWith("a", 1000));
+    Announce(other_source, MakeServer("a", 1000));
     EXPECT_TRUE(IsDraining("a"));
-    Announce(drains, ServerWith("a", 1000));
+    Announce(draining_source, MakeServer("a", 1000));
     EXPECT_TRUE(IsInService("a"));
-    Withdraw(drains, "a");
-    Announce(other, ServerWith("a", 1000));
+    Withdraw(draining_source, "a");
+    Announce(other_source, MakeServer("a", 1000));
     EXPECT_TRUE(IsDraining("a"));
     Advance(300 * kSecond);
     EXPECT_FALSE(published_.contains("a")) << "it stays withdrawn by one source while the other announces it";
-    Announce(drains, ServerWith("a", 1000));
+    Announce(draining_source, MakeServer("a", 1000));
     Advance(5 * kSecond);
     EXPECT_TRUE(IsInService("a"));
   }
-  EXPECT_GE(members_.counters().conflicts, 4u);
+  EXPECT_GE(membership_.counters().conflicts, 4u);
 }
 
-TEST_F(MembershipTest, TheFirstSourceSaysWhereAServerIs) {
-  ApplyComplete(1, {ServerWith("a", 1000, "10.0.0.2:1")});
+TEST_F(MembershipTest, TheFirstSourceDeterminesTheAddressOfAServer) {
+  ApplyCompleteListing(1, {MakeServer("a", 1000, "10.0.0.2:1")});
   EXPECT_EQ(published_.at("a").address, "10.0.0.2:1");
-  ApplyComplete(0, {ServerWith("a", 1000, "10.0.0.1:1")});
+  ApplyCompleteListing(0, {MakeServer("a", 1000, "10.0.0.1:1")});
   EXPECT_EQ(published_.at("a").address, "10.0.0.1:1");
-  Announce(1, ServerWith("a", 1000, "10.0.0.3:1"));
+  Announce(1, MakeServer("a", 1000, "10.0.0.3:1"));
   EXPECT_EQ(published_.at("a").address, "10.0.0.1:1");
 }
 
--- a/tests/membership/random_events_test.cpp
+++ b/tests/membership/random_events_test.cpp
@@ -1,4 +1,4 @@
-// Invariants of the membership view under random events.
+// Checks invariants of Membership under random events.
 #include <map>
 #include <random>
 
@@ -7,16 +7,16 @@
 namespace tulipyoke::membership {
 namespace {
 
-// Whatever the sources say in whatever order: a server in service is announced by a source, drained by none,
-// and servers that no source announces are forgotten in the end.
-TEST(MembershipRandom, NoServerIsInServiceAgainstASource) {
+// For any sequence of announcements, a server in service is announced by at least one source and drained by
+// none, and servers that no source announces are eventually erased.
+TEST(MembershipRandomEvents, AServerInServiceIsAnnouncedAndNotDrained) {
   for (unsigned seed = 0; seed < 40; ++seed) {
     std::mt19937 random(seed);
     Membership members(Options(), {"one", "two", "three"});
     std::map<std::string, ListedServer> published;
     std::vector<std::map<std::string, ServerState>> states_by_source(3);
     Micros now = kStart;
-    const auto collect = [&] {
+    const auto take_listings = [&] {
       while (const auto listing = members.TakeListing()) {
         for (const ListedServer& server : listing->servers) {
           if (server.state == ServerState::kGone)
@@ -31,22 +31,22 @@
       const std::string id(1, static_cast<char>('a' + random() % 6));
       const auto state = static_cast<ServerState>(random() % 3);
       const bool known = states_by_source[source].contains(id);
-      ListedServer server = ServerWith(id, static_cast<std::int64_t>(random() % 3), "10.0.0.1:1", state);
+      ListedServer server = MakeServer(id, static_cast<std::int64_t>(random() % 3), "10.0.0.1:1", state);
       members.ApplyListing(now, source, {1, false, {server}});
       if (state != ServerState::kGone || known) states_by_source[source][id] = state;
       now += static_cast<Micros>(random() % 1'500'000);
       members.Tick(now);
-      collect();
+      take_listings();
       for (const auto& [name, entry] : published) {
         if (entry.state != ServerState::kReady) continue;
-        bool named = false;
+        bool announced = false;
         for (const auto& states : states_by_source) {
-          const auto found = states.find(name);
-          if (found == states.end()) continue;
-          named = named || found->second == ServerState::kReady;
-          EXPECT_NE(found->second, ServerState::kDraining) << "seed " << seed << " step " << step;
+          const auto state_entry = states.find(name);
+          if (state_entry == states.end()) continue;
+          announced = announced || state_entry->second == ServerState::kReady;
+          EXPECT_NE(state_entry->second, ServerState::kDraining) << "seed " << seed << " step " << step;
         }
-        EXPECT_TRUE(named) << "seed " << seed << " step " << step;
+        EXPECT_TRUE(announced) << "seed " << seed << " step " << step;
       }
     }
     for (std::size_t source = 0; source < 3; ++source) members.ApplyListing(now, source, {1, true, {}});
--- a/tests/membership/event_oracle_test.cpp
+++ b/tests/membership/recorded_output_test.cpp
@@ -1,6 +1,7 @@
-// Pins down everything the membership view emits for a few thousand seeded events: announcements, complete
-// lists, vanishings, restarts, moves, drains, dropped sources and clock ticks from several sources. The
-// expected hashes were taken before the package was restructured; a change of behaviour changes them.
+// Compares a hash of everything that Membership emits for a few thousand seeded random events with a recorded
+// one. The events are announcements, complete listings, withdrawals, restarts, changes of address, drains,
+// removed sources and clock ticks, from several sources. The hashes were recorded before the package was
+// restructured; a change of behaviour changes them.
 #include <gtest/gtest.h>
 
 #include <bit>
@@ -18,13 +19,13 @@
 constexpr Micros kMillisecond = 1'000;
 constexpr Micros kSecond = 1'000'000;
 constexpr Micros kStart = 1'700'000'000 * kSecond;
-constexpr int kEvents = 4'000;
-constexpr std::size_t kSources = 4;
+constexpr int kEventCount = 4'000;
+constexpr std::size_t kSourceCount = 4;
 
-// SplitMix64: the same sequence with every compiler and standard library.
-class Generator {
+// The SplitMix64 generator, which gives the same sequence with every compiler and standard library.
+class SplitMix64 {
  public:
-  explicit Generator(std::uint64_t seed) : state_(seed) {}
+  explicit SplitMix64(std::uint64_t seed) : state_(seed) {}
 
   std::uint64_t Next() {
     state_ += 0x9e3779b97f4a7c15u;
@@ -40,8 +41,8 @@
   std::uint64_t state_;
 };
 
-// 64-bit FNV-1a.
-class Hash {
+// The 64-bit FNV-1a hash.
+class Fnv1aHash {
  public:
   void Add(std::uint64_t number) {
     for (int shift = 0; shift < 64; shift += 8) AddByte(static_cast<unsigned char>(number >> shift));
@@ -92,127 +93,129 @@
   std::uint64_t value_ = 0xcbf29ce484222325u;
 };
 
-// Feeds random events to one membership view and hashes what comes out after each.
+// Applies random events to one Membership and hashes its output after each.
 class Scenario {
  public:
-  Scenario(std::uint64_t seed, const Options& options, std::size_t servers)
-      : random_(seed), servers_(servers), members_(options, {"registry", "derby", "nottingham", "static"}) {}
+  Scenario(std::uint64_t seed, const Options& options, std::size_t server_count)
+      : random_(seed),
+        server_count_(server_count),
+        membership_(options, {"registry", "derby", "nottingham", "static"}) {}
 
   std::uint64_t Run() {
-    RestoreSources();
-    for (int event = 0; event < kEvents; ++event) {
-      PlayEvent();
-      Collect();
-      if (event % 16 == 0) CollectView();
+    ApplyInitialListings();
+    for (int event = 0; event < kEventCount; ++event) {
+      ApplyRandomEvent();
+      HashListings();
+      if (event % 16 == 0) HashViewsAndCounters();
     }
-    CollectView();
+    HashViewsAndCounters();
     return hash_.value();
   }
-  const Counters& counters() const { return members_.counters(); }
+  const Counters& counters() const { return membership_.counters(); }
 
  private:
-  void RestoreSources() {
-    members_.RestoreListing(now_, 0, RandomListing(false));
-    members_.ApplyListing(now_, 1, RandomListing(true));
-    Collect();
+  void ApplyInitialListings() {
+    membership_.RestoreListing(now_, 0, RandomListing(false));
+    membership_.ApplyListing(now_, 1, RandomListing(true));
+    HashListings();
   }
 
-  void PlayEvent() {
-    const std::size_t source = random_.Below(kSources);
+  void ApplyRandomEvent() {
+    const std::size_t source = random_.Below(kSourceCount);
     switch (random_.Below(16)) {
       case 0:
-        return members_.ApplyListing(now_, source, RandomListing(true));
+        return membership_.ApplyListing(now_, source, RandomListing(true));
       case 1:
-        return members_.ApplyListing(now_, source, RandomListing(false));
+        return membership_.ApplyListing(now_, source, RandomListing(false));
       case 2:
       case 3:
-        return Flap(source);
+        return FlapRandomServer(source);
       case 4:
       case 5:
-        return Change(source, ServerState::kGone);
+        return SetRandomServerState(source, ServerState::kGone);
       case 6:
-        return Change(source, ServerState::kDraining);
+        return SetRandomServerState(source, ServerState::kDraining);
       case 7:
       case 8:
       case 9:
-        return Change(source, ServerState::kReady);
+        return SetRandomServerState(source, ServerState::kReady);
       case 10:
-        if (random_.OneIn(12)) members_.RemoveSource(now_, source);
+        if (random_.OneIn(12)) membership_.RemoveSource(now_, source);
         return;
       case 11:
         return TickWhenDue();
       case 12:
-        if (random_.OneIn(20)) Wait(150 * kSecond);
+        if (random_.OneIn(20)) AdvanceClock(150 * kSecond);
         return;
       case 13:
-        return Wait(10 * kSecond);
+        return AdvanceClock(10 * kSecond);
       default:
-        return Wait(kSecond);
+        return AdvanceClock(kSecond);
     }
   }
 
-  void Wait(Micros limit) {
+  void AdvanceClock(Micros limit) {
     now_ += static_cast<Micros>(random_.Below(static_cast<std::uint64_t>(limit)));
-    members_.Tick(now_);
+    membership_.Tick(now_);
   }
 
   void TickWhenDue() {
-    const std::optional<Micros> due = members_.NextDue();
+    const std::optional<Micros> due = membership_.NextDue();
     if (!due || *due > now_ + 60 * kSecond) return;
     if (*due > now_) now_ = *due;
-    members_.Tick(now_);
+    membership_.Tick(now_);
   }
 
-  // One server that vanishes and returns several times in short order, under all sources.
-  void Flap(std::size_t source) {
+  // Withdraws and announces one server several times in quick succession through the given source.
+  void FlapRandomServer(std::size_t source) {
     const std::string id = RandomId();
-    const std::uint64_t rounds = 1 + random_.Below(3);
-    for (std::uint64_t round = 0; round < rounds; ++round) {
-      members_.ApplyListing(now_, source, {1, false, {ServerNamed(id, ServerState::kReady)}});
+    const std::uint64_t withdrawals = 1 + random_.Below(3);
+    for (std::uint64_t withdrawal = 0; withdrawal < withdrawals; ++withdrawal) {
+      membership_.ApplyListing(now_, source, {1, false, {RandomServer(id, ServerState::kReady)}});
       now_ += static_cast<Micros>(random_.Below(kSecond));
-      members_.ApplyListing(now_, source, {1, false, {ServerNamed(id, ServerState::kGone)}});
-      Collect();
+      membership_.ApplyListing(now_, source, {1, false, {RandomServer(id, ServerState::kGone)}});
+      HashListings();
       now_ += static_cast<Micros>(random_.Below(kSecond));
     }
-    members_.ApplyListing(now_, source, {1, false, {ServerNamed(id, ServerState::kReady)}});
+    membership_.ApplyListing(now_, source, {1, false, {RandomServer(id, ServerState::kReady)}});
   }
 
-  void Change(std::size_t source, ServerState state) {
-    members_.ApplyListing(now_, source, {1, false, {ServerNamed(RandomId(), state)}});
+  void SetRandomServerState(std::size_t source, ServerState state) {
+    membership_.ApplyListing(now_, source, {1, false, {RandomServer(RandomId(), state)}});
   }
 
   EndpointList RandomListing(bool complete) {
     EndpointList listing;
     listing.version = random_.Below(100);
     listing.complete = complete;
-    for (std::size_t i = 0; i < servers_; ++i) {
+    for (std::size_t i = 0; i < server_count_; ++i) {
       if (random_.OneIn(complete ? 5 : 2)) continue;
       const ServerState state = random_.OneIn(10) ? ServerState::kDraining : ServerState::kReady;
-      listing.servers.push_back(ServerNamed(IdAt(i), state));
+      listing.servers.push_back(RandomServer(IdAt(i), state));
       if (random_.OneIn(30)) listing.servers.back().state = ServerState::kGone;
     }
     return listing;
   }
 
   static std::string IdAt(std::size_t index) { return "server-" + std::to_string(index); }
-  std::string RandomId() { return IdAt(random_.Below(servers_)); }
+  std::string RandomId() { return IdAt(random_.Below(server_count_)); }
 
-  ListedServer ServerNamed(const std::string& id, ServerState state) {
+  ListedServer RandomServer(const std::string& id, ServerState state) {
     ListedServer server;
     server.id = id;
     server.address = "10.0.0." + std::to_string(random_.OneIn(25) ? 2 : 1) + ":5432";
     server.zone = random_.OneIn(2) ? "a" : "b";
     server.kind = random_.OneIn(4) ? "large" : "";
-    // Mostly by its name; some records move a server to another group.
+    // The group usually depends only on the id, but some records move a server to another group.
     server.group = static_cast<int>(random_.OneIn(40) ? random_.Below(3) : id.size() % 3);
     server.state = state;
     server.capacity_hint = 1.0 + static_cast<double>(random_.Below(4)) / 4.0;
-    server.started_unix_ms = RandomStart();
+    server.started_unix_ms = RandomStartMs();
     server.leads = random_.OneIn(8);
     return server;
   }
 
-  std::int64_t RandomStart() {
+  std::int64_t RandomStartMs() {
     switch (random_.Below(12)) {
       case 0:
         return now_ / kMillisecond - static_cast<std::int64_t>(random_.Below(30'000));
@@ -225,25 +228,25 @@
     }
   }
 
-  void Collect() {
-    while (const std::optional<EndpointList> listing = members_.TakeListing()) hash_.Add(*listing);
-    hash_.Add(static_cast<std::uint64_t>(members_.NextDue().value_or(-1)));
-    hash_.Add(static_cast<std::uint64_t>(members_.size()));
+  void HashListings() {
+    while (const std::optional<EndpointList> listing = membership_.TakeListing()) hash_.Add(*listing);
+    hash_.Add(static_cast<std::uint64_t>(membership_.NextDue().value_or(-1)));
+    hash_.Add(static_cast<std::uint64_t>(membership_.size()));
   }
-  void CollectView() {
-    for (const ServerView& view : members_.ServerViews()) hash_.Add(view);
-    hash_.Add(members_.counters());
+  void HashViewsAndCounters() {
+    for (const ServerView& view : membership_.ServerViews()) hash_.Add(view);
+    hash_.Add(membership_.counters());
   }
 
-  Generator random_;
-  std::size_t servers_;
+  SplitMix64 random_;
+  std::size_t server_count_;
   Micros now_ = kStart;
-  Membership members_;
-  Hash hash_;
+  Membership membership_;
+  Fnv1aHash hash_;
 };
 
-// Every branch that the hash is to protect was taken.
-void ExpectAllCounted(const Counters& counters) {
+// Checks that the events reached each branch that the hash covers.
+void ExpectAllCountersPositive(const Counters& counters) {
   EXPECT_GT(counters.vanished, 0u);
   EXPECT_GT(counters.returned, 0u);
   EXPECT_GT(counters.restarts, 0u);
@@ -253,13 +256,13 @@
   EXPECT_GT(counters.admitted, 0u);
 }
 
-TEST(EventOracle, DefaultOptionsEmitTheRecordedSequence) {
+TEST(MembershipRecordedOutput, DefaultOptionsGiveTheRecordedOutput) {
   Scenario scenario(1, Options(), 24);
   EXPECT_EQ(scenario.Run(), 1219586400261755460u);
-  ExpectAllCounted(scenario.counters());
+  ExpectAllCountersPositive(scenario.counters());
 }
 
-TEST(EventOracle, ManyServersAtALowAdmissionRateEmitTheRecordedSequence) {
+TEST(MembershipRecordedOutput, ManyServersAtALowAdmissionRateGiveTheRecordedOutput) {
   Options options;
   options.max_servers = 90;
   options.admission.burst = 2;
@@ -267,11 +270,11 @@
   options.admission.min_in_service = 2;
   Scenario scenario(2, options, 120);
   EXPECT_EQ(scenario.Run(), 3310007285406696972u);
-  ExpectAllCounted(scenario.counters());
+  ExpectAllCountersPositive(scenario.counters());
   EXPECT_GT(scenario.counters().over_limit, 0u);
 }
 
-TEST(EventOracle, QuickSuppressionAndShortMemoryEmitTheRecordedSequence) {
+TEST(MembershipRecordedOutput, EarlySuppressionAndShortRetentionGiveTheRecordedOutput) {
   Options options;
   options.vanish.removal_delay = 3 * kSecond;
   options.vanish.retention = 5 * kSecond;
@@ -282,7 +285,7 @@
   options.flap_damping.half_life = 5 * kSecond;
   Scenario scenario(3, options, 9);
   EXPECT_EQ(scenario.Run(), 14901114532185568311u);
-  ExpectAllCounted(scenario.counters());
+  ExpectAllCountersPositive(scenario.counters());
 }
 
 }  // namespace
--- a/tests/membership/restart_detection_test.cpp
+++ b/tests/membership/restart_detection_test.cpp
@@ -1,4 +1,4 @@
-// When an announcement shows that there is a new process.
+// Tests which announcements are taken as a restart of the server's process.
 #include "src/membership/restart_detection.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 constexpr Micros kNow = 1'700'000'000'000'000;
 constexpr std::int64_t kNowMs = kNow / 1000;
 
-SourceRecord RecordOf(const std::string& address, std::int64_t start_ms) {
+SourceRecord MakeRecord(const std::string& address, std::int64_t start_ms) {
   SourceRecord record;
   record.state = SourceState::kReady;
   record.listed.address = address;
@@ -20,8 +20,8 @@
   return record;
 }
 
-TEST(RestartDetection, TheFirstAnnouncementIsNoRestart) {
-  SourceRecords records = {RecordOf("a:1", 1000)};
+TEST(RestartDetection, TheFirstAnnouncementIsNotARestart) {
+  SourceRecords records = {MakeRecord("a:1", 1000)};
   ProcessIdentity process;
   const ProcessChange change = DetectRestart(kNow, records, 0, SourceState::kUnknown, process);
   EXPECT_FALSE(change.restarted);
@@ -30,8 +30,8 @@
   EXPECT_EQ(process.start_ms, 1000);
 }
 
-TEST(RestartDetection, ALaterStartTimeDiscardsRecordsOfTheFormerProcess) {
-  SourceRecords records = {RecordOf("a:1", kNowMs), RecordOf("a:1", 1000)};
+TEST(RestartDetection, ALaterStartTimeDiscardsRecordsOfThePreviousProcess) {
+  SourceRecords records = {MakeRecord("a:1", kNowMs), MakeRecord("a:1", 1000)};
   records[1].state = SourceState::kVanished;
   records[1].since = kNow - 1;
   ProcessIdentity process{"a:1", 1000, 1000};
@@ -40,8 +40,8 @@
   EXPECT_EQ(records[1].state, SourceState::kUnknown);
 }
 
-TEST(RestartDetection, OnlyRecordsUpToTheStartAreDiscarded) {
-  SourceRecords records = {RecordOf("a:1", kNowMs), RecordOf("a:1", 1000), RecordOf("a:1", 1000)};
+TEST(RestartDetection, OnlyRecordsNotNewerThanTheStartAreDiscarded) {
+  SourceRecords records = {MakeRecord("a:1", kNowMs), MakeRecord("a:1", 1000), MakeRecord("a:1", 1000)};
   records[1].state = SourceState::kVanished;
   records[1].since = kNow;
   records[2].state = SourceState::kVanished;
@@ -52,8 +52,8 @@
   EXPECT_EQ(records[2].state, SourceState::kVanished);
 }
 
-TEST(RestartDetection, AnotherAddressIsAProcessThatStartsNow) {
-  SourceRecords records = {RecordOf("a:2", 1000)};
+TEST(RestartDetection, AChangedAddressMeansAProcessThatStartedNow) {
+  SourceRecords records = {MakeRecord("a:2", 1000)};
   ProcessIdentity process{"a:1", 1000, 1000};
   const ProcessChange change = DetectRestart(kNow, records, 0, SourceState::kReady, process);
   EXPECT_TRUE(change.restarted);
@@ -62,7 +62,7 @@
 }
 
 TEST(RestartDetection, AReturnIsARestartOnlyWithoutAStartTime) {
-  SourceRecords records = {RecordOf("a:1", 1000)};
+  SourceRecords records = {MakeRecord("a:1", 1000)};
   ProcessIdentity process{"a:1", 1000, 1000};
   EXPECT_FALSE(DetectRestart(kNow, records, 0, SourceState::kVanished, process).restarted);
   records[0].listed.started_unix_ms = 0;
--- a/tests/membership/source_precedence_test.cpp
+++ b/tests/membership/source_precedence_test.cpp
@@ -1,4 +1,4 @@
-// Which of several sources' records of a server prevails.
+// Tests which source's record of a server is authoritative.
 #include "src/membership/source_precedence.hpp"
 
 #include <gtest/gtest.h>
@@ -6,28 +6,28 @@
 namespace tulipyoke::membership {
 namespace {
 
-SourceRecord RecordOf(SourceState state, Micros since) { return {state, {}, since}; }
+SourceRecord MakeRecord(SourceState state, Micros since) { return {state, {}, since}; }
 
 TEST(SourcePrecedence, TheFirstSourceThatAnnouncesIsAuthoritative) {
-  const SourceRecords records = {RecordOf(SourceState::kVanished, 9), RecordOf(SourceState::kDraining, 1),
-                                 RecordOf(SourceState::kReady, 5)};
+  const SourceRecords records = {MakeRecord(SourceState::kVanished, 9), MakeRecord(SourceState::kDraining, 1),
+                                 MakeRecord(SourceState::kReady, 5)};
   EXPECT_EQ(AuthoritativeRecord(records), &records[1]);
   EXPECT_TRUE(IsAnnouncedByAny(records));
 }
 
-TEST(SourcePrecedence, WithoutAnAnnouncementTheLastToVanishIsAuthoritative) {
-  const SourceRecords records = {RecordOf(SourceState::kVanished, 1), RecordOf(SourceState::kVanished, 5),
-                                 RecordOf(SourceState::kUnknown, 9)};
+TEST(SourcePrecedence, WithoutAnAnnouncementTheLastVanishedRecordIsAuthoritative) {
+  const SourceRecords records = {MakeRecord(SourceState::kVanished, 1), MakeRecord(SourceState::kVanished, 5),
+                                 MakeRecord(SourceState::kUnknown, 9)};
   EXPECT_EQ(AuthoritativeRecord(records), &records[1]);
   EXPECT_FALSE(IsAnnouncedByAny(records));
-  EXPECT_EQ(AuthoritativeRecord({RecordOf(SourceState::kUnknown, 1)}), nullptr);
+  EXPECT_EQ(AuthoritativeRecord({MakeRecord(SourceState::kUnknown, 1)}), nullptr);
 }
 
-TEST(SourcePrecedence, SourcesConflictWhereOneDrainsWhatAnotherHasInService) {
-  EXPECT_TRUE(IsConflicting({RecordOf(SourceState::kReady, 1), RecordOf(SourceState::kVanished, 1)}));
-  EXPECT_TRUE(IsConflicting({RecordOf(SourceState::kDraining, 1), RecordOf(SourceState::kReady, 1)}));
-  EXPECT_FALSE(IsConflicting({RecordOf(SourceState::kReady, 1), RecordOf(SourceState::kUnknown, 1)}));
-  EXPECT_FALSE(IsConflicting({RecordOf(SourceState::kDraining, 1), RecordOf(SourceState::kVanished, 1)}));
+TEST(SourcePrecedence, SourcesConflictIfOneDrainsAServerThatAnotherHasInService) {
+  EXPECT_TRUE(IsConflicting({MakeRecord(SourceState::kReady, 1), MakeRecord(SourceState::kVanished, 1)}));
+  EXPECT_TRUE(IsConflicting({MakeRecord(SourceState::kDraining, 1), MakeRecord(SourceState::kReady, 1)}));
+  EXPECT_FALSE(IsConflicting({MakeRecord(SourceState::kReady, 1), MakeRecord(SourceState::kUnknown, 1)}));
+  EXPECT_FALSE(IsConflicting({MakeRecord(SourceState::kDraining, 1), MakeRecord(SourceState::kVanished, 1)}));
 }
 
 }  // namespace
--- a/tests/membership/vanish_test.cpp
+++ b/tests/membership/vanish_test.cpp
@@ -1,11 +1,11 @@
-// How servers that vanish are drained, removed and forgotten.
+// Tests how Membership drains, removes and erases servers that vanish.
 #include "tests/membership/membership_fixture.hpp"
 
 namespace tulipyoke::membership {
 namespace {
 
-TEST_F(MembershipTest, AVanishedServerDrainsAtOnceAndIsRemovedAfterTheDelay) {
-  ApplyComplete(1, {ServerWith("a"), ServerWith("b")});
+TEST_F(MembershipTest, AVanishedServerDrainsImmediatelyAndIsRemovedAfterTheDelay) {
+  ApplyCompleteListing(1, {MakeServer("a"), MakeServer("b")});
   ASSERT_TRUE(IsInService("a"));
   Withdraw(1, "a");
   EXPECT_TRUE(IsDraining("a"));
@@ -15,14 +15,14 @@
   EXPECT_FALSE(published_.contains("a"));
   EXPECT_TRUE(IsInService("b"));
   Advance(200 * kSecond);
-  EXPECT_EQ(members_.size(), 1u);
+  EXPECT_EQ(membership_.size(), 1u);
 }
 
 TEST_F(MembershipTest, RemovingASourceDrainsServersThatOnlyItAnnounced) {
-  ApplyComplete(0, {ServerWith("a", 1000)});
-  ApplyComplete(1, {ServerWith("a", 1000), ServerWith("b", 1000)});
-  members_.RemoveSource(now_, 1);
-  Collect();
+  ApplyCompleteListing(0, {MakeServer("a", 1000)});
+  ApplyCompleteListing(1, {MakeServer("a", 1000), MakeServer("b", 1000)});
+  membership_.RemoveSource(now_, 1);
+  TakeListings();
   EXPECT_TRUE(IsInService("a"));
   EXPECT_TRUE(IsDraining("b"));
 }
--- a/tests/membership/vanish_timer_test.cpp
+++ b/tests/membership/vanish_timer_test.cpp
@@ -1,4 +1,4 @@
-// When a vanished server is removed from the list and when it is forgotten.
+// Tests when a vanished server is removed from the list and when it expires.
 #include "src/membership/vanish_timer.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 constexpr VanishOptions kOptions{.removal_delay = 10, .retention = 20};
 
-TEST(VanishTimer, RunsFromTheFirstUpdateOfAVanishedServer) {
+TEST(VanishTimer, RunsFromTheFirstUpdateThatReportsTheServerVanished) {
   VanishTimer timer;
   timer.Update(true, 100);
   timer.Update(true, 105);
--- a/tests/membership/wakeup_schedule_test.cpp
+++ b/tests/membership/wakeup_schedule_test.cpp
@@ -1,4 +1,4 @@
-// The order in which servers are due.
+// Tests the order in which servers become due.
 #include "src/membership/wakeup_schedule.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   EXPECT_EQ(schedule.NextDue(), std::nullopt);
 }
 
-TEST(WakeupSchedule, ATimeIsReplacedOrCancelled) {
+TEST(WakeupSchedule, SetReplacesOrCancelsATime) {
   WakeupSchedule schedule;
   schedule.Set("a", 10);
   schedule.Set("a", 20);
