--- a/src/config/choice.hpp
+++ b/src/config/choice.hpp
@@ -1,4 +1,4 @@
-// One of the texts that a setting can have, and the value that it stands for.
+// Maps one accepted text of a setting to its value.
 #ifndef TULIPYOKE_SRC_CONFIG_CHOICE_HPP_
 #define TULIPYOKE_SRC_CONFIG_CHOICE_HPP_
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -16,7 +16,7 @@
 
 using Json = nlohmann::json;
 
-// The defaults suit the smallest machine.
+// The defaults suit the smallest supported machine.
 constexpr double kDefaultMemoryMb = 192;
 constexpr std::size_t kBytesPerMb = std::size_t{1} << 20;
 constexpr int kDefaultSockets = 1024;
@@ -36,7 +36,7 @@
   return seed;
 }
 
-std::vector<std::string> StringsOrNone(const Json& json, const char* name) {
+std::vector<std::string> StringsOrEmpty(const Json& json, const char* name) {
   const auto it = json.find(name);
   return it == json.end() ? std::vector<std::string>() : it->get<std::vector<std::string>>();
 }
@@ -72,8 +72,8 @@
   const Json& settings = json.at("settings");
   config.settings = SettingsFromTable(TableFromJson(settings));
   if (config.settings.classes.empty()) throw ConfigError("settings", config_fault::NoRequestClass{});
-  config.failure_domains = StringsOrNone(settings, "failure_domains");
-  config.server_kinds = StringsOrNone(settings, "kinds");
+  config.failure_domains = StringsOrEmpty(settings, "failure_domains");
+  config.server_kinds = StringsOrEmpty(settings, "kinds");
   const Json policy = settings.value("policy_limits", Json::object());
   config.connect_timeout = policy.value("connect_timeout", kDefaultConnectTimeout);
   config.idle_timeout = policy.value("idle_close", kDefaultIdleClose);
@@ -83,7 +83,8 @@
 void ParseMembership(const Json& json, Config& config) {
   if (!json.contains("membership")) return;
   config.membership = ParseMembershipConfig(json.at("membership"), "membership", config.settings);
-  // The cached listing is the registry's; without the registry nothing would ever withdraw its servers.
+  // The cached listing came from the registry. Without the registry as a source, nothing would ever withdraw
+  // its servers.
   if (!config.membership.RegistryIndex()) config.cached_listing = EndpointList();
 }
 
@@ -109,7 +110,7 @@
     ParseLog(json, config);
     return config;
   } catch (const Json::exception& error) {
-    throw ConfigError("", config_fault::WrongForm{error.what()});
+    throw ConfigError("", config_fault::InvalidStructure{error.what()});
   }
 }
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,4 +1,4 @@
-// The configuration of the program, as its document and the environment give it.
+// The program's configuration, read from a JSON document and from environment variables.
 #ifndef TULIPYOKE_SRC_CONFIG_CONFIG_HPP_
 #define TULIPYOKE_SRC_CONFIG_CONFIG_HPP_
 
@@ -19,31 +19,31 @@
 
 // The complete configuration of the program.
 struct Config {
-  std::string name;               // of this instance
-  std::string listen_address;     // where clients connect
-  std::string discovery_address;  // of the platform's server registry
-  std::string admin_address;      // of the operators' HTTP interface; empty: there is none
-  std::uint64_t seed = 0;         // of random choices
-  std::size_t memory_bytes = 0;   // limit of the process
-  int max_sockets = 0;            // limit of the process, over clients and servers
-  // The clients' listening socket where the platform holds it open.
+  std::string name;               // name of this router instance
+  std::string listen_address;     // on which clients connect
+  std::string discovery_address;  // address of the platform's server registry
+  std::string admin_address;      // listen address of the operators' HTTP interface; empty: disabled
+  std::uint64_t seed = 0;         // seed of the random number generators
+  std::size_t memory_bytes = 0;   // memory limit of the process
+  int max_sockets = 0;            // socket limit of the process, for clients and servers together
+  // The listening socket for clients, if the platform holds it open.
   std::optional<int> accept_fd;
-  std::string shared_directory;  // common to all processes of this router; empty: none is known
-  EndpointList cached_listing;   // the servers as the registry last listed them
-  Settings settings;             // of the decision module
+  std::string shared_directory;  // shared by all processes of this router; empty: unknown
+  EndpointList cached_listing;   // the registry's last known listing
+  Settings settings;             // settings of the decision module
   std::vector<std::string> failure_domains;
-  std::vector<std::string> server_kinds;  // of servers
-  Micros connect_timeout = 0;             // for connections to servers
-  Micros idle_timeout = 0;                // how long a connection to a server is kept idle
-  std::size_t max_open = 0;               // parsed, but without effect at present
-  MembershipConfig membership;            // off: the registry alone
-  bool log_json = false;                  // log: {"form": "json"}
-  bool trace = false;                     // run --trace: a line for each step of each request
+  std::vector<std::string> server_kinds;
+  Micros connect_timeout = 0;   // for connecting to a server
+  Micros idle_timeout = 0;      // after which an idle connection to a server is closed
+  std::size_t max_open = 0;     // parsed, but currently unused
+  MembershipConfig membership;  // not enabled: the registry is the only source
+  bool log_json = false;        // from log: {"form": "json"}
+  bool trace = false;           // set by run --trace: logs a line for each step of each request
 };
 
-// Parses the document. Throws ConfigError, or SettingsError for a wrong value under `settings`.
+// Parses a configuration document. Throws ConfigError, or SettingsError for an invalid `settings` value.
 Config ParseConfig(std::string_view text);
-// Checks what only a start needs: the addresses are there and valid. Throws ConfigError.
+// Checks that the addresses needed at startup are present and valid. Throws ConfigError.
 void ValidateForStart(const Config& config);
 
 }  // namespace tulipyoke
--- a/src/config/config_error.cpp
+++ b/src/config/config_error.cpp
@@ -6,7 +6,7 @@
 namespace tulipyoke {
 namespace {
 
-// As JSON writes it, so that the text shows a number as one would enter it.
+// Formats a number as JSON does, so that the text shows it as it would be entered in the configuration.
 std::string NumberText(double number) { return nlohmann::json(number).dump(); }
 
 std::string Join(const std::vector<std::string>& items) {
@@ -15,29 +15,27 @@
   return joined;
 }
 
-class TextMaker {
+class FaultFormatter {
  public:
-  explicit TextMaker(const std::string& path) : path_(path) {}
+  explicit FaultFormatter(const std::string& path) : path_(path) {}
 
-  std::string operator()(const config_fault::NotJson&) const { return "the configuration is not JSON"; }
-  std::string operator()(const config_fault::WrongForm& fault) const {
-    return "the configuration lacks something or has it in the wrong form: " + fault.parser_text;
+  std::string operator()(const config_fault::NotJson&) const { return "the configuration is not valid JSON"; }
+  std::string operator()(const config_fault::InvalidStructure& fault) const {
+    return "the configuration has a missing or invalid value: " + fault.parser_message;
   }
   std::string operator()(const config_fault::NoRequestClass&) const {
-    return path_ + " name no class of requests";
+    return path_ + " must define at least one request class";
   }
   std::string operator()(const config_fault::TooFewSockets& fault) const {
-    return path_ + " is under " + std::to_string(fault.min);
+    return path_ + " must be at least " + std::to_string(fault.min);
   }
   std::string operator()(const config_fault::InvalidSeed& fault) const {
-    return path_ + " is no hexadecimal number: " + fault.given;
+    return path_ + " is not a 64-bit hexadecimal number: " + fault.raw_value;
   }
-  std::string operator()(const config_fault::InvalidServerList& fault) const { return fault.text; }
+  std::string operator()(const config_fault::InvalidServerList& fault) const { return fault.detail; }
 
-  std::string operator()(const config_fault::Missing&) const { return AtPath("is missing"); }
-  std::string operator()(const config_fault::UnknownKey&) const {
-    return AtPath("is no setting that is known here");
-  }
+  std::string operator()(const config_fault::MissingKey&) const { return AtPath("is missing"); }
+  std::string operator()(const config_fault::UnknownKey&) const { return AtPath("is not a known setting"); }
   std::string operator()(const config_fault::WrongType& fault) const {
     return AtPath("must be " + fault.expected);
   }
@@ -49,37 +47,41 @@
                   std::to_string(fault.max));
   }
   std::string operator()(const config_fault::UnknownChoice& fault) const {
-    return AtPath("is '" + fault.given + "', but must be one of " + Join(fault.choices));
+    return AtPath("is '" + fault.raw_value + "', but must be one of " + Join(fault.choices));
   }
   std::string operator()(const config_fault::WrongLength& fault) const {
-    return AtPath("must name 1 to " + std::to_string(fault.max) + " " + fault.items);
+    return AtPath("must contain 1 to " + std::to_string(fault.max) + " " + fault.items);
   }
   std::string operator()(const config_fault::InvalidHostPort& fault) const {
-    const std::string text = "not an address and port: '" + fault.given + "'";
+    const std::string text = "not a valid address with port: '" + fault.raw_value + "'";
     return path_.empty() ? text : AtPath(text);
   }
 
   std::string operator()(const config_fault::InvalidServiceName&) const {
-    return AtPath("is no service such as _readings._tcp");
+    return AtPath("is not a DNS-SD service type such as _readings._tcp");
+  }
+  std::string operator()(const config_fault::InvalidDnsName&) const {
+    return AtPath("is not a valid DNS name");
   }
-  std::string operator()(const config_fault::InvalidDnsName&) const { return AtPath("is no DNS name"); }
   std::string operator()(const config_fault::InvalidAddressBlock& fault) const {
-    return AtPath("no block of addresses such as 10.0.0.0/8: '" + fault.given + "'");
+    return AtPath("not an address block such as 10.0.0.0/8: '" + fault.raw_value + "'");
   }
-  std::string operator()(const config_fault::InvalidServer&) const {
-    return AtPath("holds an entry that is none");
+  std::string operator()(const config_fault::InvalidServerEntry&) const {
+    return AtPath("contains an invalid server entry");
   }
   std::string operator()(const config_fault::DuplicateSource&) const {
-    return AtPath("names a source that is there already");
+    return AtPath("duplicates the name of another source");
+  }
+  std::string operator()(const config_fault::DuplicateRegistry&) const {
+    return AtPath("only one registry source is allowed");
   }
-  std::string operator()(const config_fault::SecondRegistry&) const { return AtPath("is a second registry"); }
 
   std::string operator()(const config_fault::NoConfigFile&) const {
-    return path_ + " names no configuration file";
+    return path_ + " is not set; it must name the configuration file";
   }
   std::string operator()(const config_fault::UnreadableFile&) const { return "cannot read " + path_; }
   std::string operator()(const config_fault::InvalidDescriptor& fault) const {
-    return path_ + " is no descriptor: " + fault.given;
+    return path_ + " is not a valid file descriptor: " + fault.raw_value;
   }
 
  private:
@@ -93,7 +95,7 @@
 }  // namespace
 
 std::string ToText(const std::string& path, const ConfigFault& fault) {
-  return std::visit(TextMaker(path), fault);
+  return std::visit(FaultFormatter(path), fault);
 }
 
 ConfigError::ConfigError(std::string path, ConfigFault fault)
--- a/src/config/config_error.hpp
+++ b/src/config/config_error.hpp
@@ -1,4 +1,4 @@
-// What can be wrong with a configuration: the fault, where it is in the document, and the text for operators.
+// Errors in the configuration: the kind of fault, its location, and the message for operators.
 #ifndef TULIPYOKE_SRC_CONFIG_CONFIG_ERROR_HPP_
 #define TULIPYOKE_SRC_CONFIG_CONFIG_ERROR_HPP_
 
@@ -10,30 +10,30 @@
 
 namespace tulipyoke {
 
-// The faults; each holds what its text needs beside the path.
+// The kinds of faults. Each holds the values that its message contains besides the path.
 namespace config_fault {
 
-// The document as a whole.
+// Faults of the document as a whole.
 struct NotJson {};
-struct WrongForm {
-  std::string parser_text;  // of the JSON library
+struct InvalidStructure {
+  std::string parser_message;  // message of the JSON library
 };
 struct NoRequestClass {};
 struct TooFewSockets {
   int min = 0;
 };
 struct InvalidSeed {
-  std::string given;
+  std::string raw_value;
 };
 struct InvalidServerList {
-  std::string text;
+  std::string detail;
 };
 
-// Single values.
-struct Missing {};
+// Faults of single values.
+struct MissingKey {};
 struct UnknownKey {};
 struct WrongType {
-  std::string expected;  // with its article, such as "a list"
+  std::string expected;  // including its article, such as "an array"
 };
 struct NumberOutOfRange {
   double min = 0;
@@ -44,52 +44,53 @@
   std::size_t max = 0;
 };
 struct UnknownChoice {
-  std::string given;
+  std::string raw_value;
   std::vector<std::string> choices;
 };
 struct WrongLength {
-  std::size_t max = 0;  // at least one is needed
-  std::string items;    // what the list is of
+  std::size_t max = 0;  // the minimum is 1
+  std::string items;    // what the list contains, in the plural
 };
 struct InvalidHostPort {
-  std::string given;
+  std::string raw_value;
 };
 
-// Sources of servers.
+// Faults in the sources of servers.
 struct InvalidServiceName {};
 struct InvalidDnsName {};
 struct InvalidAddressBlock {
-  std::string given;
+  std::string raw_value;
 };
-struct InvalidServer {};
+struct InvalidServerEntry {};
 struct DuplicateSource {};
-struct SecondRegistry {};
+struct DuplicateRegistry {};
 
-// The environment of the program.
+// Faults in the environment of the program.
 struct NoConfigFile {};
 struct UnreadableFile {};
 struct InvalidDescriptor {
-  std::string given;
+  std::string raw_value;
 };
 
 }  // namespace config_fault
 
 using ConfigFault =
-    std::variant<config_fault::NotJson, config_fault::WrongForm, config_fault::NoRequestClass,
+    std::variant<config_fault::NotJson, config_fault::InvalidStructure, config_fault::NoRequestClass,
                  config_fault::TooFewSockets, config_fault::InvalidSeed, config_fault::InvalidServerList,
-                 config_fault::Missing, config_fault::UnknownKey, config_fault::WrongType,
+                 config_fault::MissingKey, config_fault::UnknownKey, config_fault::WrongType,
                  config_fault::NumberOutOfRange, config_fault::CountOutOfRange, config_fault::UnknownChoice,
                  config_fault::WrongLength, config_fault::InvalidHostPort, config_fault::InvalidServiceName,
-                 config_fault::InvalidDnsName, config_fault::InvalidAddressBlock, config_fault::InvalidServer,
-                 config_fault::DuplicateSource, config_fault::SecondRegistry, config_fault::NoConfigFile,
-                 config_fault::UnreadableFile, config_fault::InvalidDescriptor>;
+                 config_fault::InvalidDnsName, config_fault::InvalidAddressBlock,
+                 config_fault::InvalidServerEntry, config_fault::DuplicateSource,
+                 config_fault::DuplicateRegistry, config_fault::NoConfigFile, config_fault::UnreadableFile,
+                 config_fault::InvalidDescriptor>;
 
-// The text for operators. The path is that of the value in the document, such as
-// `membership.sources[1].look_ms`, or the name of the file or the environment variable; empty for the
+// Returns the message for operators. `path` locates the value in the document, such as
+// `membership.sources[1].look_ms`, or is the name of a file or an environment variable. It is empty for the
 // document as a whole.
 std::string ToText(const std::string& path, const ConfigFault& fault);
 
-// Thrown while the program starts or reads its configuration again; what() is ToText of path and fault.
+// Thrown when the configuration cannot be loaded or reloaded; what() is ToText(path, fault).
 class ConfigError : public std::runtime_error {
  public:
   ConfigError(std::string path, ConfigFault fault);
--- a/src/config/config_loader.cpp
+++ b/src/config/config_loader.cpp
@@ -16,25 +16,25 @@
 constexpr const char* kConfigVariable = "LB_CONFIG";
 constexpr const char* kDescriptorVariable = "LB_ACCEPT_FD";
 
-// Empty if the variable is not set.
+// Returns an empty string if the variable is not set.
 std::string EnvironmentValue(const char* name) {
   const char* value = std::getenv(name);
   return value ? value : "";
 }
 
 void OverrideFromEnvironment(const char* name, std::string& value) {
-  std::string given = EnvironmentValue(name);
-  if (!given.empty()) value = std::move(given);
+  std::string raw_value = EnvironmentValue(name);
+  if (!raw_value.empty()) value = std::move(raw_value);
 }
 
 std::optional<int> InheritedDescriptor() {
-  const std::string given = EnvironmentValue(kDescriptorVariable);
-  if (given.empty()) return std::nullopt;
+  const std::string raw_value = EnvironmentValue(kDescriptorVariable);
+  if (raw_value.empty()) return std::nullopt;
   int descriptor = 0;
-  const char* const given_end = given.data() + given.size();
-  const auto [end, error] = std::from_chars(given.data(), given_end, descriptor);
-  if (error != std::errc() || end != given_end || descriptor < 0) {
-    throw ConfigError(kDescriptorVariable, config_fault::InvalidDescriptor{given});
+  const char* const raw_value_end = raw_value.data() + raw_value.size();
+  const auto [end, error] = std::from_chars(raw_value.data(), raw_value_end, descriptor);
+  if (error != std::errc() || end != raw_value_end || descriptor < 0) {
+    throw ConfigError(kDescriptorVariable, config_fault::InvalidDescriptor{raw_value});
   }
   return descriptor;
 }
--- a/src/config/config_loader.hpp
+++ b/src/config/config_loader.hpp
@@ -1,5 +1,5 @@
-// Finds the configuration of the program: the document that the environment names, and single values that the
-// environment sets. All functions throw ConfigError, or SettingsError for a wrong value under `settings`.
+// Loads the program's configuration from the document that an environment variable names, and from further
+// environment variables. All functions throw ConfigError, or SettingsError for an invalid `settings` value.
 #ifndef TULIPYOKE_SRC_CONFIG_CONFIG_LOADER_HPP_
 #define TULIPYOKE_SRC_CONFIG_CONFIG_LOADER_HPP_
 
@@ -9,13 +9,13 @@
 
 struct Config;
 
-// The content of a file.
+// Returns the content of a file.
 std::string ReadFile(const std::string& path);
-// For the start: reads the file that LB_CONFIG names. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_OPERATOR
-// replace its values where they are set; the listening socket and the shared directory are given only by
-// LB_ACCEPT_FD and TMPDIR. The result is valid for a start.
+// Loads the configuration at startup from the file that LB_CONFIG names. LB_NAME, LB_LISTEN, LB_DISCOVERY and
+// LB_OPERATOR override its values if they are set. The listening socket and the shared directory come only
+// from LB_ACCEPT_FD and TMPDIR. The result has passed ValidateForStart.
 Config LoadConfig();
-// For a reload: reads the same file alone, since the environment is as old as the process.
+// Reads only the file again, for a reload: the environment does not change while the process runs.
 Config ReloadConfig();
 
 }  // namespace tulipyoke
--- a/src/config/json_object_reader.cpp
+++ b/src/config/json_object_reader.cpp
@@ -39,12 +39,12 @@
 std::string JsonObjectReader::GetString(const std::string& key, const std::string& default_value) {
   const Json* value = Find(key);
   if (!value) return default_value;
-  if (!value->is_string()) Fail(key, config_fault::WrongType{"a text"});
+  if (!value->is_string()) Fail(key, config_fault::WrongType{"a string"});
   return value->get<std::string>();
 }
 
 std::string JsonObjectReader::GetRequiredString(const std::string& key) {
-  if (!Find(key)) Fail(key, config_fault::Missing{});
+  if (!Find(key)) Fail(key, config_fault::MissingKey{});
   return GetString(key, "");
 }
 
@@ -73,31 +73,31 @@
   return count;
 }
 
-std::optional<std::size_t> JsonObjectReader::GetIndexOf(const std::string& key,
-                                                        std::vector<std::string> names) {
+std::optional<std::size_t> JsonObjectReader::GetChoiceIndex(const std::string& key,
+                                                            std::vector<std::string> names) {
   if (!Find(key)) return std::nullopt;
-  const std::string given = GetString(key, "");
-  const auto it = std::find(names.begin(), names.end(), given);
-  if (it == names.end()) Fail(key, config_fault::UnknownChoice{given, std::move(names)});
+  const std::string raw_value = GetString(key, "");
+  const auto it = std::find(names.begin(), names.end(), raw_value);
+  if (it == names.end()) Fail(key, config_fault::UnknownChoice{raw_value, std::move(names)});
   return static_cast<std::size_t>(it - names.begin());
 }
 
 std::vector<std::string> JsonObjectReader::GetStrings(const std::string& key) {
   std::vector<std::string> strings;
   ForEach(key, [&](const Json& item, const std::string& path) {
-    if (!item.is_string()) throw ConfigError(path, config_fault::WrongType{"a text"});
+    if (!item.is_string()) throw ConfigError(path, config_fault::WrongType{"a string"});
     strings.push_back(item.get<std::string>());
   });
   return strings;
 }
 
 void JsonObjectReader::ForEach(const std::string& key,
-                               const std::function<void(const Json&, const std::string&)>& use) {
+                               const std::function<void(const Json&, const std::string&)>& visit) {
   const Json* value = Find(key);
   if (!value) return;
-  if (!value->is_array()) Fail(key, config_fault::WrongType{"a list"});
+  if (!value->is_array()) Fail(key, config_fault::WrongType{"an array"});
   for (std::size_t i = 0; i < value->size(); ++i) {
-    use((*value)[i], PathOf(key) + "[" + std::to_string(i) + "]");
+    visit((*value)[i], PathOf(key) + "[" + std::to_string(i) + "]");
   }
 }
 
--- a/src/config/listing_json.cpp
+++ b/src/config/listing_json.cpp
@@ -11,35 +11,36 @@
 
 using Json = nlohmann::json;
 
-// A member that is missing or null has the default value.
+// Returns the default value if the member is missing or null.
 template <typename T>
-T GetOr(const Json& json, const char* name, T default_value) {
+T ValueOrDefault(const Json& json, const char* name, T default_value) {
   const auto it = json.find(name);
   if (it == json.end() || it->is_null()) return default_value;
   return it->get<T>();
 }
 
-// None for a phase that is not known.
-std::optional<ServerState> StateOf(const std::string& phase) {
+// Returns nothing for an unknown phase.
+std::optional<ServerState> StateFromPhase(const std::string& phase) {
   if (phase == "in_service") return ServerState::kReady;
   if (phase == "terminating") return ServerState::kDraining;
   if (phase == "terminated") return ServerState::kGone;
   return std::nullopt;
 }
 
-// None for an entry that is not valid.
+// Returns nothing for an invalid entry.
 std::optional<ListedServer> ServerFromJson(const Json& json) {
   try {
     ListedServer entry;
     entry.id = json.at("id").get<std::string>();
-    entry.address = GetOr<std::string>(json, "host_port", "");
-    entry.zone = GetOr<std::string>(json, "locality", "");
-    entry.kind = GetOr<std::string>(json, "flavor", "");
-    entry.group = static_cast<int>(GetOr<double>(json, "cell", 0));
-    entry.capacity_hint = GetOr<double>(json, "size", 1);
-    entry.started_unix_ms = static_cast<std::int64_t>(GetOr<double>(json, "up_since_ms", 0));
-    entry.leads = GetOr<std::string>(json, "replication", "") == "primary";
-    const std::optional<ServerState> state = StateOf(GetOr<std::string>(json, "phase", "in_service"));
+    entry.address = ValueOrDefault<std::string>(json, "host_port", "");
+    entry.zone = ValueOrDefault<std::string>(json, "locality", "");
+    entry.kind = ValueOrDefault<std::string>(json, "flavor", "");
+    entry.group = static_cast<int>(ValueOrDefault<double>(json, "cell", 0));
+    entry.capacity_hint = ValueOrDefault<double>(json, "size", 1);
+    entry.started_unix_ms = static_cast<std::int64_t>(ValueOrDefault<double>(json, "up_since_ms", 0));
+    entry.leads = ValueOrDefault<std::string>(json, "replication", "") == "primary";
+    const std::optional<ServerState> state =
+        StateFromPhase(ValueOrDefault<std::string>(json, "phase", "in_service"));
     if (entry.id.empty() || !state) return std::nullopt;
     entry.state = *state;
     return entry;
@@ -52,7 +53,7 @@
 
 std::string ToText(const ListingError& error) {
   const bool not_json = error.kind == ListingError::Kind::kNotJson;
-  return "no list of servers: " + (not_json ? "not JSON" : error.detail);
+  return "invalid server list: " + (not_json ? "not valid JSON" : error.detail);
 }
 
 ListingResult ListingFromJson(const Json& json) {
@@ -66,7 +67,7 @@
     }
     return listing;
   } catch (const Json::exception& error) {
-    return ListingError{ListingError::Kind::kWrongForm, error.what()};
+    return ListingError{ListingError::Kind::kInvalidStructure, error.what()};
   }
 }
 
--- a/src/config/listing_json.hpp
+++ b/src/config/listing_json.hpp
@@ -1,5 +1,5 @@
-// The JSON form of a listing, in the registry's answers and in the configuration. Single servers that are not
-// valid are left out, so that one of them does not hide the others.
+// Parses listings in JSON, as the registry's responses and the configuration contain them. Invalid server
+// entries are skipped, so that one of them does not invalidate the whole listing.
 #ifndef TULIPYOKE_SRC_CONFIG_LISTING_JSON_HPP_
 #define TULIPYOKE_SRC_CONFIG_LISTING_JSON_HPP_
 
@@ -12,14 +12,14 @@
 
 namespace tulipyoke {
 
-// Why a text or a JSON value is not a listing.
+// Why a text or a JSON value is not a valid listing.
 struct ListingError {
   enum class Kind {
     kNotJson,
-    kWrongForm,  // a member is missing or has the wrong type
+    kInvalidStructure,  // a member is missing or has the wrong type
   };
   Kind kind = Kind::kNotJson;
-  std::string detail;  // of a wrong form, from the JSON library
+  std::string detail;  // message of the JSON library for kInvalidStructure
 };
 std::string ToText(const ListingError& error);
 
@@ -27,7 +27,7 @@
 
 ListingResult ListingFromJson(const nlohmann::json& json);
 ListingResult ParseListing(std::string_view text);
-// Throws std::runtime_error with the error's text where ParseListing gives an error.
+// Throws std::runtime_error with the text of the error if ParseListing returns one.
 EndpointList ParseListingOrThrow(std::string_view text);
 
 }  // namespace tulipyoke
--- a/src/config/membership_config.cpp
+++ b/src/config/membership_config.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t kMaxInstances = 1'000'000;
 constexpr std::size_t kMaxServers = 1'000'000;
 constexpr std::size_t kDefaultTries = 3;
-// Beyond the longest deadline, a vanished server stays listed for this long.
+// By default, a vanished server stays listed for at least this long beyond the maximum drain time.
 constexpr Micros kRemovalMargin = 1'000'000;
 
 void ParseZone(JsonObjectReader& object, DnsSdSource& dns) {
@@ -91,16 +91,17 @@
   return dns;
 }
 
-// The members in the form of the registry's listings.
+// Parses the static servers, which have the same format as the members of the registry's listings.
 EndpointList ParseStaticMembers(JsonObjectReader& object) {
   const Json* members = object.Find("members");
-  if (!members || !members->is_array()) object.Fail("members", config_fault::WrongType{"a list of servers"});
+  if (!members || !members->is_array())
+    object.Fail("members", config_fault::WrongType{"an array of servers"});
   ListingResult result = ListingFromJson(Json{{"revision", 1}, {"complete", true}, {"members", *members}});
   if (const auto* error = std::get_if<ListingError>(&result)) {
     object.Fail("members", config_fault::InvalidServerList{ToText(*error)});
   }
   EndpointList listing = std::get<EndpointList>(std::move(result));
-  if (listing.servers.size() != members->size()) object.Fail("members", config_fault::InvalidServer{});
+  if (listing.servers.size() != members->size()) object.Fail("members", config_fault::InvalidServerEntry{});
   return listing;
 }
 
@@ -122,7 +123,7 @@
       object.GetChoice<SourceConfig::Kind>("type", {{"registry", SourceConfig::Kind::kRegistry},
                                                     {"static", SourceConfig::Kind::kStatic},
                                                     {"dns-sd", SourceConfig::Kind::kDnsSd}});
-  if (!kind) object.Fail("type", config_fault::Missing{});
+  if (!kind) object.Fail("type", config_fault::MissingKey{});
   SourceConfig source;
   source.kind = *kind;
   if (source.kind == SourceConfig::Kind::kDnsSd) source.dns_sd = ParseDnsSdSource(object);
@@ -140,7 +141,7 @@
     SourceConfig source = ParseSource(item, path);
     if (!names.insert(source.name).second) throw ConfigError(path + ".name", config_fault::DuplicateSource{});
     if (source.kind == SourceConfig::Kind::kRegistry && std::exchange(has_registry, true)) {
-      throw ConfigError(path + ".type", config_fault::SecondRegistry{});
+      throw ConfigError(path + ".type", config_fault::DuplicateRegistry{});
     }
     sources.push_back(std::move(source));
   });
@@ -150,8 +151,8 @@
   return sources;
 }
 
-// The longest time for which a request may still run on a server that drains.
-Micros LongestDrain(const Settings& settings) {
+// Returns the longest time for which a request can still run on a draining server.
+Micros MaxDrainTime(const Settings& settings) {
   Micros longest = settings.drain_timeout;
   for (const ClassSettings& request_class : settings.classes) {
     longest = std::max(longest, request_class.deadline);
@@ -159,9 +160,9 @@
   return longest;
 }
 
-void ParseVanishOptions(JsonObjectReader& object, Micros longest_drain, membership::VanishOptions& vanish) {
-  const Micros default_delay = std::max(vanish.removal_delay, longest_drain + kRemovalMargin);
-  const double min_delay_ms = static_cast<double>(longest_drain) / kMicrosPerMillisecond;
+void ParseVanishOptions(JsonObjectReader& object, Micros max_drain_time, membership::VanishOptions& vanish) {
+  const Micros default_delay = std::max(vanish.removal_delay, max_drain_time + kRemovalMargin);
+  const double min_delay_ms = static_cast<double>(max_drain_time) / kMicrosPerMillisecond;
   vanish.removal_delay = object.GetDuration("linger_ms", default_delay, min_delay_ms, kHourMs);
   vanish.retention = object.GetDuration("memory_ms", vanish.retention, 0, 24 * kHourMs);
 }
@@ -197,7 +198,7 @@
   config.sources = ParseSources(object);
   membership::Options& options = config.options;
   if (settings.slow_start_window > 0) options.warm_up_time = settings.slow_start_window;
-  ParseVanishOptions(object, LongestDrain(settings), options.vanish);
+  ParseVanishOptions(object, MaxDrainTime(settings), options.vanish);
   options.max_servers = object.GetCount("most_servers", options.max_servers, 1, kMaxServers);
   ParseFlapDamping(object.GetObject("flapping"), options.flap_damping);
   ParseAdmission(object.GetObject("admission"), options.admission);
--- a/src/config/membership_config.hpp
+++ b/src/config/membership_config.hpp
@@ -1,5 +1,5 @@
-// The part `membership` of the configuration: the sources of the list of servers, and how they are combined.
-// Without it the platform's registry is the only source and its listings are used as they come.
+// The `membership` section of the configuration: the sources of servers and how they are combined. Without
+// this section, the platform's registry is the only source and its listings are used unchanged.
 #ifndef TULIPYOKE_SRC_CONFIG_MEMBERSHIP_CONFIG_HPP_
 #define TULIPYOKE_SRC_CONFIG_MEMBERSHIP_CONFIG_HPP_
 
@@ -17,7 +17,7 @@
 
 namespace tulipyoke {
 
-// A DNS-SD zone and the resolvers that are queried for it.
+// A DNS-SD zone and the resolvers to query for it.
 struct DnsSdSource {
   dnssd::BrowserOptions browser_options;
   dnssd::StubResolverOptions resolver_options;
@@ -29,22 +29,22 @@
 
   std::string name;
   Kind kind = Kind::kRegistry;
-  EndpointList static_listing;  // of a static source
-  DnsSdSource dns_sd;           // of a DNS-SD source
+  EndpointList static_listing;  // only for a static source
+  DnsSdSource dns_sd;           // only for a DNS-SD source
 };
 
 struct MembershipConfig {
-  std::vector<SourceConfig> sources;  // in the order of precedence
+  std::vector<SourceConfig> sources;  // in order of precedence
   membership::Options options;
 
-  // False if the configuration has no such part.
+  // Returns false if the configuration has no `membership` section.
   bool enabled() const { return !sources.empty(); }
-  // The index of the registry among the sources; none if it is not a source.
+  // Returns the index of the registry in `sources`; nothing if the registry is not a source.
   std::optional<std::size_t> RegistryIndex() const;
 };
 
-// `path` is that of the JSON value in the document. Deadlines and the drain timeout of the settings bound how
-// long vanished servers stay listed. Throws ConfigError.
+// `path` locates the JSON value in the document. The deadlines and the drain timeout in `settings` set the
+// minimum time for which vanished servers stay listed. Throws ConfigError.
 MembershipConfig ParseMembershipConfig(const nlohmann::json& json, const std::string& path,
                                        const Settings& settings);
 
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,5 +1,5 @@
-// The settings of the decision module from a table of paths and texts, the common form of the simulator's
-// lines and the program's JSON.
+// Reads the settings of the decision module from a table of paths and texts. Both the simulator's lines and
+// the program's JSON are converted to this table.
 #ifndef TULIPYOKE_SRC_CONFIG_SETTINGS_HPP_
 #define TULIPYOKE_SRC_CONFIG_SETTINGS_HPP_
 
@@ -11,16 +11,16 @@
 
 namespace tulipyoke {
 
-// What is wrong with the value of a setting.
+// Why the value of a setting is invalid.
 enum class SettingsFault {
-  kUnknownValue,  // not one of the texts that the setting can have
-  kNotANumber,    // no number, or one out of range
+  kUnknownValue,   // not one of the texts that the setting accepts
+  kInvalidNumber,  // not a number, or out of range
 };
 
-// The text for operators, which names the path and the value.
+// Returns the message for operators, which names the path and the value.
 std::string ToText(SettingsFault fault, const std::string& path, const std::string& value);
 
-// Thrown for a value that its path cannot have; what() is ToText.
+// Thrown for an invalid value of a setting; what() is ToText(fault, path, value).
 class SettingsError : public std::runtime_error {
  public:
   SettingsError(SettingsFault fault, const std::string& path, const std::string& value)
@@ -36,11 +36,11 @@
   std::string value_;
 };
 
-// Values by path. A list of plain values is joined by commas; a list of objects has its length under `.count`
-// and its items under `.0`, `.1` and so on.
+// Maps paths to values. A list of scalars is one value, joined by commas. The length of a list of objects is
+// under `.count` and its items are under `.0`, `.1` and so on.
 using SettingsTable = std::map<std::string, std::string>;
 
-// Unknown paths are ignored, missing ones have their defaults. Throws SettingsError.
+// Ignores unknown paths and uses the default for missing ones. Throws SettingsError.
 Settings SettingsFromTable(const SettingsTable& table);
 
 }  // namespace tulipyoke
--- a/src/config/settings_json.cpp
+++ b/src/config/settings_json.cpp
@@ -8,14 +8,14 @@
 
 using Json = nlohmann::json;
 
-std::string PlainText(const Json& json) {
+std::string ScalarToText(const Json& json) {
   if (json.is_string()) return json.get<std::string>();
   return json.is_null() ? "" : json.dump();
 }
 
 std::string JoinItems(const Json& list) {
   std::string joined;
-  for (const Json& item : list) joined += (joined.empty() ? "" : ",") + PlainText(item);
+  for (const Json& item : list) joined += (joined.empty() ? "" : ",") + ScalarToText(item);
   return joined;
 }
 
@@ -33,7 +33,7 @@
   } else if (json.is_array()) {
     table[path] = JoinItems(json);
   } else {
-    table[path] = PlainText(json);
+    table[path] = ScalarToText(json);
   }
 }
 
--- a/src/config/settings_json.hpp
+++ b/src/config/settings_json.hpp
@@ -1,4 +1,4 @@
-// The settings as JSON: nested objects become the paths of the settings table.
+// Converts settings in JSON to the settings table: the keys of nested objects are joined to paths.
 #ifndef TULIPYOKE_SRC_CONFIG_SETTINGS_JSON_HPP_
 #define TULIPYOKE_SRC_CONFIG_SETTINGS_JSON_HPP_
 
--- a/tests/config/config_error_test.cpp
+++ b/tests/config/config_error_test.cpp
@@ -1,4 +1,4 @@
-// Errors name the place and the fault in typed form.
+// Tests that errors carry the path and the fault as typed values.
 #include "src/config/config_error.hpp"
 
 #include <gtest/gtest.h>
@@ -12,23 +12,23 @@
 namespace tulipyoke {
 namespace {
 
-TEST(ConfigError, HasThePathAndTheFault) {
+TEST(ConfigError, CarriesThePathAndTheFault) {
   try {
     ParseConfig(R"({"settings":{"services":[{"name":"a"}]},"log":{"form":"xml"}})");
     FAIL() << "no error";
   } catch (const ConfigError& error) {
     EXPECT_EQ(error.path(), "log.form");
     ASSERT_TRUE(std::holds_alternative<config_fault::UnknownChoice>(error.fault()));
-    EXPECT_EQ(std::get<config_fault::UnknownChoice>(error.fault()).given, "xml");
+    EXPECT_EQ(std::get<config_fault::UnknownChoice>(error.fault()).raw_value, "xml");
     EXPECT_EQ(error.what(), ToText(error.path(), error.fault()));
   }
 }
 
-TEST(ConfigError, WithoutAPathNamesTheConfiguration) {
+TEST(ConfigError, AnErrorWithoutAPathNamesTheConfiguration) {
   EXPECT_EQ(ToText("", config_fault::WrongType{"an object"}), "the configuration: must be an object");
 }
 
-TEST(SettingsError, HasThePathTheFaultAndTheValue) {
+TEST(SettingsError, CarriesThePathTheFaultAndTheValue) {
   try {
     SettingsFromTable({{"stats.via", "post"}});
     FAIL() << "no error";
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -1,4 +1,4 @@
-// The program's configuration document.
+// Tests the parsing of the program's configuration document.
 #include "src/config/config.hpp"
 
 #include <gtest/gtest.h>
@@ -22,12 +22,12 @@
    "aim":300000,"deadline":1200000}],"domain":{"freshness":["recent"],"lag_allowed":[200000]},
    "policy_limits":{"connect_timeout":125000,"probes":true},"stats":{"fields":["x0","x1"]}}})";
 
-TEST(Config, ReadsADocument) {
+TEST(Config, ParsesADocument) {
   const Config config = ParseConfig(kConfig);
   EXPECT_EQ(config.seed, 0x8c1f30d27a5be964u);
   EXPECT_EQ(config.memory_bytes, std::size_t{64} << 20);
   EXPECT_EQ(config.max_sockets, 256);
-  EXPECT_EQ(config.admin_address, "");  // there is no such interface by default
+  EXPECT_EQ(config.admin_address, "");  // disabled by default
   EXPECT_EQ(config.connect_timeout, 125'000);
   EXPECT_EQ(config.idle_timeout, 15'000'000);
   EXPECT_EQ(config.failure_domains, (std::vector<std::string>{"a", "b"}));
@@ -38,7 +38,7 @@
   EXPECT_EQ(config.settings.classes[0].staleness_bound, 200'000);
   EXPECT_TRUE(config.settings.health_checks_allowed);
   EXPECT_EQ(config.settings.report_fields, (std::vector<std::string>{"x0", "x1"}));
-  // Invalid servers do not hide the others.
+  // Invalid server entries are skipped and the others are kept.
   ASSERT_EQ(config.cached_listing.servers.size(), 1u);
   EXPECT_EQ(config.cached_listing.version, 41u);
   EXPECT_EQ(config.cached_listing.servers[0].state, ServerState::kDraining);
@@ -46,7 +46,7 @@
   EXPECT_EQ(config.cached_listing.servers[0].group, 3);
 }
 
-// The program's JSON and the simulator's lines must be read alike.
+// The program's JSON and the simulator's lines must give the same settings.
 TEST(Config, JsonAndLinesGiveTheSameSettings) {
   const Settings json = ParseConfig(kConfig).settings;
   const auto lines = std::get<Settings>(wire::ParseSettings(
@@ -60,7 +60,7 @@
   EXPECT_EQ(json.health_checks_allowed, lines.health_checks_allowed);
 }
 
-// The program must not start with half a configuration.
+// The program must not start with an incomplete or invalid configuration.
 TEST(Config, AnInvalidDocumentIsRejected) {
   for (const char* text : {"", "{", "[]", "{}", R"({"settings":{}})", R"({"settings":{"services":7}})",
                            R"({"settings":{"services":[{"aim":"soon"}]}})",
--- a/tests/config/error_text_test.cpp
+++ b/tests/config/error_text_test.cpp
@@ -1,4 +1,4 @@
-// The exact text that operators see for each thing that can be wrong with a configuration.
+// Tests the exact error text that operators see for each fault of a configuration.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -17,7 +17,7 @@
 
 using Json = nlohmann::json;
 
-std::string ErrorTextOf(const std::function<void()>& action) {
+std::string ThrownText(const std::function<void()>& action) {
   try {
     action();
     return "no error";
@@ -31,60 +31,59 @@
   std::string error_text;
 };
 
-// A complete document whose other members are valid.
-std::string DocumentWith(const std::string& members) {
+// Returns a document with the given members, which is valid apart from them.
+std::string MakeDocument(const std::string& members) {
   return R"({"settings":{"services":[{"name":"a"}]},)" + members + "}";
 }
 
-TEST(ConfigErrorText, NamesWhatIsWrongWithTheDocument) {
-  const std::string wrong_form = "the configuration lacks something or has it in the wrong form: ";
+TEST(ConfigErrorText, DescribesFaultsOfTheDocument) {
+  const std::string invalid_value = "the configuration has a missing or invalid value: ";
   const std::vector<Case> cases = {
-      {"", "the configuration is not JSON"},
-      {"{", "the configuration is not JSON"},
-      {"{}", wrong_form + "[json.exception.out_of_range.403] key 'settings' not found"},
-      {R"({"settings":{}})", "settings name no class of requests"},
-      {R"({"settings":{"services":7}})", "settings name no class of requests"},
-      {R"({"seed":"xyz","settings":{}})", "seed is no hexadecimal number: xyz"},
-      {R"({"seed":"","settings":{}})", "seed is no hexadecimal number: "},
-      {R"({"seed":"12 ","settings":{}})", "seed is no hexadecimal number: 12 "},
-      {R"({"seed":"12","limits":{"sockets":3},"settings":{}})", "limits.sockets is under 32"},
-      {DocumentWith(R"("known":{"revision":1})"),
-       "no list of servers: [json.exception.out_of_range.403] key 'complete' not found"},
-      {DocumentWith(R"("log":7)"), "log: must be an object"},
-      {DocumentWith(R"("log":{"form":7})"), "log.form: must be a text"},
-      {DocumentWith(R"("log":{"form":"xml"})"), "log.form: is 'xml', but must be one of text, json"},
-      {DocumentWith(R"("log":{"level":1})"), "log.level: is no setting that is known here"},
-      {DocumentWith(R"("membership":[])"), "membership: must be an object"},
+      {"", "the configuration is not valid JSON"},
+      {"{", "the configuration is not valid JSON"},
+      {"{}", invalid_value + "[json.exception.out_of_range.403] key 'settings' not found"},
+      {R"({"settings":{}})", "settings must define at least one request class"},
+      {R"({"settings":{"services":7}})", "settings must define at least one request class"},
+      {R"({"seed":"xyz","settings":{}})", "seed is not a 64-bit hexadecimal number: xyz"},
+      {R"({"seed":"","settings":{}})", "seed is not a 64-bit hexadecimal number: "},
+      {R"({"seed":"12 ","settings":{}})", "seed is not a 64-bit hexadecimal number: 12 "},
+      {R"({"seed":"12","limits":{"sockets":3},"settings":{}})", "limits.sockets must be at least 32"},
+      {MakeDocument(R"("known":{"revision":1})"),
+       "invalid server list: [json.exception.out_of_range.403] key 'complete' not found"},
+      {MakeDocument(R"("log":7)"), "log: must be an object"},
+      {MakeDocument(R"("log":{"form":7})"), "log.form: must be a string"},
+      {MakeDocument(R"("log":{"form":"xml"})"), "log.form: is 'xml', but must be one of text, json"},
+      {MakeDocument(R"("log":{"level":1})"), "log.level: is not a known setting"},
+      {MakeDocument(R"("membership":[])"), "membership: must be an object"},
   };
-  for (const Case& wrong : cases) {
-    EXPECT_EQ(ErrorTextOf([&] { ParseConfig(wrong.input); }), wrong.error_text) << wrong.input;
+  for (const Case& test_case : cases) {
+    EXPECT_EQ(ThrownText([&] { ParseConfig(test_case.input); }), test_case.error_text) << test_case.input;
   }
 }
 
-TEST(ConfigErrorText, NamesWhatIsWrongWithASetting) {
+TEST(ConfigErrorText, DescribesFaultsOfASetting) {
   const std::vector<Case> cases = {
-      {R"({"services":[{"name":"a","aim":"soon"}]})",
-       "setting services.0.aim is not a possible number: soon"},
-      {R"({"services":[{"name":"a","aim":1e30}]})", "setting services.0.aim is not a possible number: 1e+30"},
+      {R"({"services":[{"name":"a","aim":"soon"}]})", "setting services.0.aim is not a valid number: soon"},
+      {R"({"services":[{"name":"a","aim":1e30}]})", "setting services.0.aim is not a valid number: 1e+30"},
       {R"({"services":[{"name":"a","semantics":"best"}]})",
-       "setting services.0.semantics has a value that is not known: best"},
+       "setting services.0.semantics has an unknown value: best"},
       {R"({"services":[{"name":"a","stream":"maybe"}]})",
-       "setting services.0.stream has a value that is not known: maybe"},
+       "setting services.0.stream has an unknown value: maybe"},
       {R"({"services":[{"name":"a"}],"domain":{"freshness":["old"]}})",
-       "setting domain.freshness has a value that is not known: old"},
+       "setting domain.freshness has an unknown value: old"},
       {R"({"services":[{"name":"a"}],"domain":{"lag_allowed":["x"]}})",
-       "setting domain.lag_allowed is not a possible number: x"},
-      {R"({"services":{"count":5000}})", "setting services.count is not a possible number: 5000"},
-      {R"({"services":[{"name":"a"}],"n_instances":-1})", "setting n_instances is not a possible number: -1"},
+       "setting domain.lag_allowed is not a valid number: x"},
+      {R"({"services":{"count":5000}})", "setting services.count is not a valid number: 5000"},
+      {R"({"services":[{"name":"a"}],"n_instances":-1})", "setting n_instances is not a valid number: -1"},
   };
-  for (const Case& wrong : cases) {
-    const std::string document = R"({"settings":)" + wrong.input + "}";
-    EXPECT_EQ(ErrorTextOf([&] { ParseConfig(document); }), wrong.error_text) << wrong.input;
+  for (const Case& test_case : cases) {
+    const std::string document = R"({"settings":)" + test_case.input + "}";
+    EXPECT_EQ(ThrownText([&] { ParseConfig(document); }), test_case.error_text) << test_case.input;
   }
 }
 
-// Of several wrong settings the first one in the order of reading is named.
-TEST(ConfigErrorText, NamesTheFirstWrongSetting) {
+// If several settings are invalid, the error names the first one in the order of reading.
+TEST(ConfigErrorText, NamesTheFirstInvalidSetting) {
   SettingsTable table = {{"services.count", "1"}, {"services.0.name", "a"}};
   for (const char* path : {"zone",
                            "me",
@@ -116,119 +115,119 @@
                            "domain.catch_up_wait",
                            "domain.guards"}) {
     table[path] = "wrong";
-    const std::string text = ErrorTextOf([&] { SettingsFromTable(table); });
+    const std::string text = ThrownText([&] { SettingsFromTable(table); });
     EXPECT_EQ(text.find("setting " + std::string(path) + " "), 0u) << path << ": " << text;
   }
 }
 
-Json MembershipWith(const Json& source) { return {{"sources", {source}}}; }
-Json DnsSourceWith(const Json& more) {
+Json MakeMembership(const Json& source) { return {{"sources", {source}}}; }
+Json MakeDnsSource(const Json& overrides) {
   Json source{{"type", "dns-sd"}, {"zone", "derby.example.org"}, {"resolvers", {"127.0.0.1:53"}}};
-  source.update(more);
-  return MembershipWith(source);
+  source.update(overrides);
+  return MakeMembership(source);
 }
-Json RegistryWith(const Json& more) {
-  Json json = MembershipWith({{"type", "registry"}});
-  json.update(more);
+Json MakeRegistry(const Json& overrides) {
+  Json json = MakeMembership({{"type", "registry"}});
+  json.update(overrides);
   return json;
 }
 
-TEST(ConfigErrorText, NamesWhatIsWrongWithASource) {
+TEST(ConfigErrorText, DescribesFaultsOfASource) {
   const struct {
     Json json;
     std::string error_text;
   } cases[] = {
-      {Json::object(), "membership.sources: must name 1 to 32 sources"},
-      {{{"sources", 7}}, "membership.sources: must be a list"},
+      {Json::object(), "membership.sources: must contain 1 to 32 sources"},
+      {{{"sources", 7}}, "membership.sources: must be an array"},
       {{{"sources", {7}}}, "membership.sources[0]: must be an object"},
-      {MembershipWith(Json::object()), "membership.sources[0].type: is missing"},
-      {MembershipWith({{"type", "file"}}),
+      {MakeMembership(Json::object()), "membership.sources[0].type: is missing"},
+      {MakeMembership({{"type", "file"}}),
        "membership.sources[0].type: is 'file', but must be one of registry, static, dns-sd"},
-      {MembershipWith({{"type", "dns-sd"}}), "membership.sources[0].zone: is missing"},
-      {MembershipWith({{"type", "static"}}), "membership.sources[0].members: must be a list of servers"},
-      {MembershipWith({{"type", "static"}, {"members", {{{"id", 5}}}}}),
-       "membership.sources[0].members: holds an entry that is none"},
-      {DnsSourceWith({{"service", "a..b"}}),
-       "membership.sources[0].service: is no service such as _readings._tcp"},
-      {DnsSourceWith({{"service", 5}}), "membership.sources[0].service: must be a text"},
-      {DnsSourceWith({{"zone", "a..b"}}), "membership.sources[0].zone: is no DNS name"},
-      {DnsSourceWith({{"mode", "push"}}),
+      {MakeMembership({{"type", "dns-sd"}}), "membership.sources[0].zone: is missing"},
+      {MakeMembership({{"type", "static"}}), "membership.sources[0].members: must be an array of servers"},
+      {MakeMembership({{"type", "static"}, {"members", {{{"id", 5}}}}}),
+       "membership.sources[0].members: contains an invalid server entry"},
+      {MakeDnsSource({{"service", "a..b"}}),
+       "membership.sources[0].service: is not a DNS-SD service type such as _readings._tcp"},
+      {MakeDnsSource({{"service", 5}}), "membership.sources[0].service: must be a string"},
+      {MakeDnsSource({{"zone", "a..b"}}), "membership.sources[0].zone: is not a valid DNS name"},
+      {MakeDnsSource({{"mode", "push"}}),
        "membership.sources[0].mode: is 'push', but must be one of poll, serial, transfer"},
-      {DnsSourceWith({{"refresh_fraction", 2}}),
+      {MakeDnsSource({{"refresh_fraction", 2}}),
        "membership.sources[0].refresh_fraction: must be a number from 0.1 to 1.0"},
-      {DnsSourceWith({{"look_ms", "x"}}),
+      {MakeDnsSource({{"look_ms", "x"}}),
        "membership.sources[0].look_ms: must be a number from 20.0 to 3600000.0"},
-      {DnsSourceWith({{"most_asks", 0}}),
+      {MakeDnsSource({{"most_asks", 0}}),
        "membership.sources[0].most_asks: must be a whole number from 1 to 256"},
-      {DnsSourceWith({{"tries", 1.5}}), "membership.sources[0].tries: must be a whole number from 1 to 10"},
-      {DnsSourceWith({{"allow", "10.0.0.0/8"}}), "membership.sources[0].allow: must be a list"},
-      {DnsSourceWith({{"allow", {5}}}), "membership.sources[0].allow[0]: must be a text"},
-      {DnsSourceWith({{"allow", {"10.0.0.0/8", "x"}}}),
-       "membership.sources[0].allow[1]: no block of addresses such as 10.0.0.0/8: 'x'"},
-      {DnsSourceWith({{"resolvers", Json::array()}}),
-       "membership.sources[0].resolvers: must name 1 to 8 addresses with ports"},
-      {DnsSourceWith({{"resolvers", {"here"}}}),
-       "membership.sources[0].resolvers[0]: not an address and port: 'here'"},
-      {DnsSourceWith({{"interval", 5}}), "membership.sources[0].interval: is no setting that is known here"},
+      {MakeDnsSource({{"tries", 1.5}}), "membership.sources[0].tries: must be a whole number from 1 to 10"},
+      {MakeDnsSource({{"allow", "10.0.0.0/8"}}), "membership.sources[0].allow: must be an array"},
+      {MakeDnsSource({{"allow", {5}}}), "membership.sources[0].allow[0]: must be a string"},
+      {MakeDnsSource({{"allow", {"10.0.0.0/8", "x"}}}),
+       "membership.sources[0].allow[1]: not an address block such as 10.0.0.0/8: 'x'"},
+      {MakeDnsSource({{"resolvers", Json::array()}}),
+       "membership.sources[0].resolvers: must contain 1 to 8 addresses with ports"},
+      {MakeDnsSource({{"resolvers", {"here"}}}),
+       "membership.sources[0].resolvers[0]: not a valid address with port: 'here'"},
+      {MakeDnsSource({{"interval", 5}}), "membership.sources[0].interval: is not a known setting"},
   };
-  for (const auto& wrong : cases) {
-    EXPECT_EQ(ErrorTextOf([&] { ParseMembershipConfig(wrong.json, "membership", Settings()); }),
-              wrong.error_text)
-        << wrong.json;
+  for (const auto& test_case : cases) {
+    EXPECT_EQ(ThrownText([&] { ParseMembershipConfig(test_case.json, "membership", Settings()); }),
+              test_case.error_text)
+        << test_case.json;
   }
 }
 
-TEST(ConfigErrorText, NamesWhatIsWrongWithTheMembership) {
+TEST(ConfigErrorText, DescribesFaultsOfTheMembership) {
   const Json registry = {{"type", "registry"}};
   const Json second = {{"type", "registry"}, {"name", "other"}};
   const struct {
     Json json;
     std::string error_text;
   } cases[] = {
-      {{{"sources", {registry, second}}}, "membership.sources[1].type: is a second registry"},
+      {{{"sources", {registry, second}}}, "membership.sources[1].type: only one registry source is allowed"},
       {{{"sources", {registry, registry}}},
-       "membership.sources[1].name: names a source that is there already"},
-      {RegistryWith({{"linger_ms", -1}}), "membership.linger_ms: must be a number from 0.0 to 3600000.0"},
-      {RegistryWith({{"memory_ms", -1}}), "membership.memory_ms: must be a number from 0.0 to 86400000.0"},
-      {RegistryWith({{"most_servers", 0}}),
+       "membership.sources[1].name: duplicates the name of another source"},
+      {MakeRegistry({{"linger_ms", -1}}), "membership.linger_ms: must be a number from 0.0 to 3600000.0"},
+      {MakeRegistry({{"memory_ms", -1}}), "membership.memory_ms: must be a number from 0.0 to 86400000.0"},
+      {MakeRegistry({{"most_servers", 0}}),
        "membership.most_servers: must be a whole number from 1 to 1000000"},
-      {RegistryWith({{"flapping", {{"hold_over", 0}}}}),
+      {MakeRegistry({{"flapping", {{"hold_over", 0}}}}),
        "membership.flapping.hold_over: must be a number from 1.0 to 1000.0"},
-      {RegistryWith({{"flapping", {{"free_under", 9}}}}),
+      {MakeRegistry({{"flapping", {{"free_under", 9}}}}),
        "membership.flapping.free_under: must be a number from 0.01 to 3.5"},
-      {RegistryWith({{"flapping", {{"most", 1}}}}),
+      {MakeRegistry({{"flapping", {{"most", 1}}}}),
        "membership.flapping.most: must be a number from 3.5 to 1000.0"},
-      {RegistryWith({{"flapping", {{"half_life_ms", 1}}}}),
+      {MakeRegistry({{"flapping", {{"half_life_ms", 1}}}}),
        "membership.flapping.half_life_ms: must be a number from 100.0 to 3600000.0"},
-      {RegistryWith({{"flapping", {{"slow", 1}}}}),
-       "membership.flapping.slow: is no setting that is known here"},
-      {RegistryWith({{"admission", {{"burst", 0}}}}),
+      {MakeRegistry({{"flapping", {{"slow", 1}}}}), "membership.flapping.slow: is not a known setting"},
+      {MakeRegistry({{"admission", {{"burst", 0}}}}),
        "membership.admission.burst: must be a number from 1.0 to 10000.0"},
-      {RegistryWith({{"admission", {{"per_s", 0}}}}),
+      {MakeRegistry({{"admission", {{"per_s", 0}}}}),
        "membership.admission.per_s: must be a number from 0.01 to 10000.0"},
-      {RegistryWith({{"admission", {{"needy", -1}}}}),
+      {MakeRegistry({{"admission", {{"needy", -1}}}}),
        "membership.admission.needy: must be a whole number from 0 to 1000"},
-      {RegistryWith({{"pace", 1}}), "membership.pace: is no setting that is known here"},
+      {MakeRegistry({{"pace", 1}}), "membership.pace: is not a known setting"},
   };
-  for (const auto& wrong : cases) {
-    EXPECT_EQ(ErrorTextOf([&] { ParseMembershipConfig(wrong.json, "membership", Settings()); }),
-              wrong.error_text)
-        << wrong.json;
+  for (const auto& test_case : cases) {
+    EXPECT_EQ(ThrownText([&] { ParseMembershipConfig(test_case.json, "membership", Settings()); }),
+              test_case.error_text)
+        << test_case.json;
   }
 }
 
-TEST(ConfigErrorText, NamesWhatIsWrongWithTheEnvironment) {
-  EXPECT_EQ(ErrorTextOf([] { ReadFile("/no/such/file"); }), "cannot read /no/such/file");
+TEST(ConfigErrorText, DescribesFaultsOfTheEnvironment) {
+  EXPECT_EQ(ThrownText([] { ReadFile("/no/such/file"); }), "cannot read /no/such/file");
   unsetenv("LB_CONFIG");
-  EXPECT_EQ(ErrorTextOf([] { ReloadConfig(); }), "LB_CONFIG names no configuration file");
+  EXPECT_EQ(ThrownText([] { ReloadConfig(); }), "LB_CONFIG is not set; it must name the configuration file");
   setenv("LB_CONFIG", PROJECT_ROOT "/deploy/dns-sd.json", 1);
   for (const char* descriptor : {"-3", "x", "3x", "99999999999"}) {
     setenv("LB_ACCEPT_FD", descriptor, 1);
-    EXPECT_EQ(ErrorTextOf([] { LoadConfig(); }), "LB_ACCEPT_FD is no descriptor: " + std::string(descriptor));
+    EXPECT_EQ(ThrownText([] { LoadConfig(); }),
+              "LB_ACCEPT_FD is not a valid file descriptor: " + std::string(descriptor));
   }
   unsetenv("LB_ACCEPT_FD");
   setenv("LB_LISTEN", "here", 1);
-  EXPECT_EQ(ErrorTextOf([] { LoadConfig(); }), "not an address and port: 'here'");
+  EXPECT_EQ(ThrownText([] { LoadConfig(); }), "not a valid address with port: 'here'");
   unsetenv("LB_LISTEN");
   unsetenv("LB_CONFIG");
 }
--- a/tests/config/host_port_test.cpp
+++ b/tests/config/host_port_test.cpp
@@ -1,4 +1,4 @@
-// Addresses with ports.
+// Tests the parsing of addresses with ports.
 #include "src/config/host_port.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace tulipyoke {
 namespace {
 
-TEST(HostPort, SplitsAtTheLastColonAndRejectsWhatIsNoPort) {
+TEST(HostPort, SplitsAtTheLastColonAndRejectsInvalidAddresses) {
   for (const char* address : {"", "x", ":1", "h:", "h:70000", "h:1x"}) {
     EXPECT_FALSE(ParseHostPort(address)) << address;
     EXPECT_THROW(ParseHostPortOrThrow(address), std::runtime_error) << address;
--- a/tests/config/json_object_reader_test.cpp
+++ b/tests/config/json_object_reader_test.cpp
@@ -1,4 +1,4 @@
-// Checked access to the values of one object; the texts of the errors are tested in error_text_test.cpp.
+// Tests the typed and checked access to JSON values. The error texts are tested in error_text_test.cpp.
 #include "src/config/json_object_reader.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
   EXPECT_TRUE(reader.GetStrings("absent").empty());
 }
 
-TEST(JsonObjectReader, AChoiceIsNoneOnlyWhereTheKeyIsMissing) {
+TEST(JsonObjectReader, AChoiceIsEmptyOnlyIfTheKeyIsMissing) {
   const Json json = {{"mode", "fast"}};
   JsonObjectReader reader(json, "");
   EXPECT_EQ(reader.GetChoice<int>("mode", {{"slow", 1}, {"fast", 2}}), 2);
--- a/tests/config/listing_json_test.cpp
+++ b/tests/config/listing_json_test.cpp
@@ -1,4 +1,4 @@
-// Listings as JSON.
+// Tests the parsing of listings in JSON.
 #include "src/config/listing_json.hpp"
 
 #include <gtest/gtest.h>
@@ -18,16 +18,16 @@
   EXPECT_EQ(listing.servers[0].state, ServerState::kGone);
 }
 
-TEST(ListingJson, AnErrorSaysWhetherTheTextIsJson) {
-  const ListingResult no_json = ParseListing("nonsense");
-  ASSERT_TRUE(std::holds_alternative<ListingError>(no_json));
-  EXPECT_EQ(std::get<ListingError>(no_json).kind, ListingError::Kind::kNotJson);
-  EXPECT_EQ(ToText(std::get<ListingError>(no_json)), "no list of servers: not JSON");
-  const ListingResult wrong_form = ParseListing("{}");
-  ASSERT_TRUE(std::holds_alternative<ListingError>(wrong_form));
-  EXPECT_EQ(std::get<ListingError>(wrong_form).kind, ListingError::Kind::kWrongForm);
-  EXPECT_EQ(ToText(std::get<ListingError>(wrong_form)),
-            "no list of servers: [json.exception.out_of_range.403] key 'revision' not found");
+TEST(ListingJson, AnErrorTellsInvalidJsonFromAnInvalidStructure) {
+  const ListingResult not_json = ParseListing("nonsense");
+  ASSERT_TRUE(std::holds_alternative<ListingError>(not_json));
+  EXPECT_EQ(std::get<ListingError>(not_json).kind, ListingError::Kind::kNotJson);
+  EXPECT_EQ(ToText(std::get<ListingError>(not_json)), "invalid server list: not valid JSON");
+  const ListingResult invalid_structure = ParseListing("{}");
+  ASSERT_TRUE(std::holds_alternative<ListingError>(invalid_structure));
+  EXPECT_EQ(std::get<ListingError>(invalid_structure).kind, ListingError::Kind::kInvalidStructure);
+  EXPECT_EQ(ToText(std::get<ListingError>(invalid_structure)),
+            "invalid server list: [json.exception.out_of_range.403] key 'revision' not found");
 }
 
 }  // namespace
