--- a/src/config/membership_config.cpp
+++ b/src/config/membership_config.cpp
@@ -22,35 +22,43 @@
 constexpr std::size_t kMaxInstances = 1'000'000;
 constexpr std::size_t kMaxServers = 1'000'000;
 constexpr std::size_t kDefaultTries = 3;
-// Beyond the longest deadline, a vanished server stays listed for this long.
+// By default, a vanished server stays listed for at least this long beyond the maximum drain time.
 constexpr Micros kRemovalMargin = 1'000'000;
 
 void ParseZone(JsonObjectReader& object, DnsSdSource& dns) {
-  dns.zone.service = object.GetString("service", dns.zone.service);
-  dns.zone.zone = object.GetRequiredString("zone");
-  if (!dnssd::IsValidName(dns.zone.service)) object.Fail("service", config_fault::InvalidServiceName{});
-  const std::string domain = dns.zone.service + "." + dns.zone.zone;
+  dns.browser_options.service = object.GetString("service", dns.browser_options.service);
+  dns.browser_options.zone = object.GetRequiredString("zone");
+  if (!dnssd::IsValidName(dns.browser_options.service))
+    object.Fail("service", config_fault::InvalidServiceName{});
+  const std::string domain = dns.browser_options.service + "." + dns.browser_options.zone;
   if (!dnssd::IsValidName(domain)) object.Fail("zone", config_fault::InvalidDnsName{});
-  dns.zone.site = object.GetString("site", "");
-  dns.zone.mode = object
-                      .GetChoice<dnssd::BrowseMode>("mode", {{"poll", dnssd::BrowseMode::kPoll},
-                                                             {"serial", dnssd::BrowseMode::kSerial},
-                                                             {"transfer", dnssd::BrowseMode::kTransfer}})
-                      .value_or(dnssd::BrowseMode::kSerial);
-  dns.zone.poll_interval = object.GetDuration("look_ms", dns.zone.poll_interval, 20, kHourMs);
-  dns.zone.retry_interval =
-      object.GetDuration("retry_ms", std::min(dns.zone.retry_interval, dns.zone.poll_interval), 20, kHourMs);
-  dns.zone.refresh_fraction = object.GetNumber("refresh_fraction", dns.zone.refresh_fraction, 0.1, 1);
-  dns.zone.min_refresh = object.GetDuration("least_refresh_ms", dns.zone.min_refresh, 100, kHourMs);
-  dns.zone.max_instances = object.GetCount("most_instances", dns.zone.max_instances, 1, kMaxInstances);
-  dns.zone.max_concurrent_queries = object.GetCount("most_asks", dns.zone.max_concurrent_queries, 1, 256);
+  dns.browser_options.site = object.GetString("site", "");
+  dns.browser_options.mode =
+      object
+          .GetChoice<dnssd::BrowseMode>("mode", {{"poll", dnssd::BrowseMode::kPoll},
+                                                 {"serial", dnssd::BrowseMode::kSerial},
+                                                 {"transfer", dnssd::BrowseMode::kTransfer}})
+          .value_or(dnssd::BrowseMode::kSerial);
+  dns.browser_options.poll_interval =
+      object.GetDuration("look_ms", dns.browser_options.poll_interval, 20, kHourMs);
+  dns.browser_options.retry_interval = object.GetDuration(
+      "retry_ms", std::min(dns.browser_options.retry_interval, dns.browser_options.poll_interval), 20,
+      kHourMs);
+  dns.browser_options.refresh_fraction =
+      object.GetNumber("refresh_fraction", dns.browser_options.refresh_fraction, 0.1, 1);
+  dns.browser_options.min_refresh =
+      object.GetDuration("least_refresh_ms", dns.browser_options.min_refresh, 100, kHourMs);
+  dns.browser_options.max_instances =
+      object.GetCount("most_instances", dns.browser_options.max_instances, 1, kMaxInstances);
+  dns.browser_options.max_concurrent_queries =
+      object.GetCount("most_asks", dns.browser_options.max_concurrent_queries, 1, 256);
 }
 
 void ParseAllowedAddresses(JsonObjectReader& object, DnsSdSource& dns) {
   const std::vector<std::string> blocks = object.GetStrings("allow");
   for (std::size_t i = 0; i < blocks.size(); ++i) {
     try {
-      dns.zone.allowed_addresses.emplace_back(blocks[i]);
+      dns.browser_options.allowed_addresses.emplace_back(blocks[i]);
     } catch (const std::invalid_argument&) {
       object.Fail("allow[" + std::to_string(i) + "]", config_fault::InvalidAddressBlock{blocks[i]});
     }
@@ -67,10 +75,12 @@
     if (ParseHostPort(address)) continue;
     object.Fail("resolvers[" + std::to_string(i) + "]", config_fault::InvalidHostPort{address});
   }
-  dns.retries.resolver_count = dns.resolvers.size();
-  dns.retries.udp_timeout = object.GetDuration("wait_ms", dns.retries.udp_timeout, 10, 10'000);
-  dns.retries.tcp_timeout = object.GetDuration("stream_wait_ms", dns.retries.tcp_timeout, 10, 60'000);
-  dns.retries.max_attempts = static_cast<int>(object.GetCount("tries", kDefaultTries, 1, 10));
+  dns.resolver_options.resolver_count = dns.resolvers.size();
+  dns.resolver_options.udp_timeout =
+      object.GetDuration("wait_ms", dns.resolver_options.udp_timeout, 10, 10'000);
+  dns.resolver_options.tcp_timeout =
+      object.GetDuration("stream_wait_ms", dns.resolver_options.tcp_timeout, 10, 60'000);
+  dns.resolver_options.max_attempts = static_cast<int>(object.GetCount("tries", kDefaultTries, 1, 10));
 }
 
 DnsSdSource ParseDnsSdSource(JsonObjectReader& object) {
@@ -81,16 +91,17 @@
   return dns;
 }
 
-// The members in the form of the registry's listings.
+// Parses the static servers, which have the same format as the members of the registry's listings.
 EndpointList ParseStaticMembers(JsonObjectReader& object) {
   const Json* members = object.Find("members");
-  if (!members || !members->is_array()) object.Fail("members", config_fault::WrongType{"a list of servers"});
+  if (!members || !members->is_array())
+    object.Fail("members", config_fault::WrongType{"an array of servers"});
   ListingResult result = ListingFromJson(Json{{"revision", 1}, {"complete", true}, {"members", *members}});
   if (const auto* error = std::get_if<ListingError>(&result)) {
     object.Fail("members", config_fault::InvalidServerList{ToText(*error)});
   }
   EndpointList listing = std::get<EndpointList>(std::move(result));
-  if (listing.servers.size() != members->size()) object.Fail("members", config_fault::InvalidServer{});
+  if (listing.servers.size() != members->size()) object.Fail("members", config_fault::InvalidServerEntry{});
   return listing;
 }
 
@@ -101,7 +112,7 @@
     case SourceConfig::Kind::kStatic:
       return "static";
     case SourceConfig::Kind::kDnsSd:
-      return source.dns_sd.zone.zone;
+      return source.dns_sd.browser_options.zone;
   }
   return "";
 }
@@ -112,7 +123,7 @@
       object.GetChoice<SourceConfig::Kind>("type", {{"registry", SourceConfig::Kind::kRegistry},
                                                     {"static", SourceConfig::Kind::kStatic},
                                                     {"dns-sd", SourceConfig::Kind::kDnsSd}});
-  if (!kind) object.Fail("type", config_fault::Missing{});
+  if (!kind) object.Fail("type", config_fault::MissingKey{});
   SourceConfig source;
   source.kind = *kind;
   if (source.kind == SourceConfig::Kind::kDnsSd) source.dns_sd = ParseDnsSdSource(object);
@@ -130,7 +141,7 @@
     SourceConfig source = ParseSource(item, path);
     if (!names.insert(source.name).second) throw ConfigError(path + ".name", config_fault::DuplicateSource{});
     if (source.kind == SourceConfig::Kind::kRegistry && std::exchange(has_registry, true)) {
-      throw ConfigError(path + ".type", config_fault::SecondRegistry{});
+      throw ConfigError(path + ".type", config_fault::DuplicateRegistry{});
     }
     sources.push_back(std::move(source));
   });
@@ -140,8 +151,8 @@
   return sources;
 }
 
-// The longest time for which a request may still run on a server that drains.
-Micros LongestDrain(const Settings& settings) {
+// Returns the longest time for which a request can still run on a draining server.
+Micros MaxDrainTime(const Settings& settings) {
   Micros longest = settings.drain_timeout;
   for (const ClassSettings& request_class : settings.classes) {
     longest = std::max(longest, request_class.deadline);
@@ -149,9 +160,9 @@
   return longest;
 }
 
-void ParseVanishOptions(JsonObjectReader& object, Micros longest_drain, membership::VanishOptions& vanish) {
-  const Micros default_delay = std::max(vanish.removal_delay, longest_drain + kRemovalMargin);
-  const double min_delay_ms = static_cast<double>(longest_drain) / kMicrosPerMillisecond;
+void ParseVanishOptions(JsonObjectReader& object, Micros max_drain_time, membership::VanishOptions& vanish) {
+  const Micros default_delay = std::max(vanish.removal_delay, max_drain_time + kRemovalMargin);
+  const double min_delay_ms = static_cast<double>(max_drain_time) / kMicrosPerMillisecond;
   vanish.removal_delay = object.GetDuration("linger_ms", default_delay, min_delay_ms, kHourMs);
   vanish.retention = object.GetDuration("memory_ms", vanish.retention, 0, 24 * kHourMs);
 }
@@ -187,7 +198,7 @@
   config.sources = ParseSources(object);
   membership::Options& options = config.options;
   if (settings.slow_start_window > 0) options.warm_up_time = settings.slow_start_window;
-  ParseVanishOptions(object, LongestDrain(settings), options.vanish);
+  ParseVanishOptions(object, MaxDrainTime(settings), options.vanish);
   options.max_servers = object.GetCount("most_servers", options.max_servers, 1, kMaxServers);
   ParseFlapDamping(object.GetObject("flapping"), options.flap_damping);
   ParseAdmission(object.GetObject("admission"), options.admission);
