--- a/src/listener/client_io.cpp
+++ b/src/listener/client_io.cpp
@@ -59,9 +59,9 @@
     return false;
   if (!client.has_pending_responses()) return true;
   // Further requests beside the first one only as far as enough is left for other clients.
-  return client.open_requests < options_.limits.most_pipelined && client.retained_bytes < kMaxRetainedBytes &&
-         retained_bytes_ < options_.limits.most_buffered &&
-         kPipelinedDivisor * clients_by_request_.size() < options_.limits.most_open;
+  return client.open_requests < options_.limits.max_pipelined_requests &&
+         client.retained_bytes < kMaxRetainedBytes && retained_bytes_ < options_.limits.max_buffered_bytes &&
+         kPipelinedDivisor * clients_by_request_.size() < options_.limits.max_open_requests;
 }
 
 void ClientListener::ProcessInput(const ConnectionPtr& client) {
@@ -115,7 +115,7 @@
   const std::size_t unread = uncounted ? 0 : client->reader.buffered();
   unread_bytes_ += unread - client->unread_bytes;
   client->unread_bytes = unread;
-  return unread_bytes_ > options_.limits.most_buffered && unread > kReadSize;
+  return unread_bytes_ > options_.limits.max_buffered_bytes && unread > kReadSize;
 }
 
 bool ClientListener::ReserveStatement(const ConnectionPtr& client) {
--- a/src/listener/client_listener.cpp
+++ b/src/listener/client_listener.cpp
@@ -41,7 +41,7 @@
       accept_pause_(io),
       timeout_check_(io),
       disconnect_check_(io),
-      statement_budget_(options.limits.large_statements) {
+      statement_budget_(options.limits.large_statement_bytes) {
   statement_budget_.OnRelease([this] {
     if (std::exchange(reservation_check_posted_, true)) return;
     asio::post(io_, [this] { OnReservationReleased(); });
@@ -89,11 +89,11 @@
 
 void ClientListener::SetLimits(const ListenerLimits& limits) {
   options_.limits = limits;
-  statement_budget_.Resize(limits.large_statements);
+  statement_budget_.Resize(limits.large_statement_bytes);
   // In a handler of its own: an update from another process can arrive while a request is being submitted,
   // and its client, which looks idle until then, must not be closed.
   asio::post(io_, [this] {
-    while (clients_.size() > options_.limits.most_clients && EvictIdle()) {
+    while (clients_.size() > options_.limits.max_clients && EvictIdle()) {
     }
   });
 }
@@ -119,13 +119,14 @@
   socket.set_option(asio::ip::tcp::no_delay(true), ignored);
   // Clients may use only a part of the descriptors. Where each request comes on a connection of its own that
   // stays open, idle ones are evicted before that part is used up.
-  for (int evicted = 0; evicted < kMaxEvictionsPerAccept && clients_.size() >= options_.limits.kept_clients;
-       ++evicted) {
-    const bool urgent = clients_.size() >= options_.limits.kept_clients + options_.limits.kept_clients / 8;
+  for (int evicted = 0;
+       evicted < kMaxEvictionsPerAccept && clients_.size() >= options_.limits.eviction_threshold; ++evicted) {
+    const bool urgent =
+        clients_.size() >= options_.limits.eviction_threshold + options_.limits.eviction_threshold / 8;
     if (!EvictIdle(urgent ? 0 : kMinIdleForEviction)) break;
   }
-  const bool room = clients_.size() < options_.limits.most_clients || EvictIdle();
-  if (!room && clients_.size() >= options_.limits.most_clients + kMaxOverLimitClients) {
+  const bool room = clients_.size() < options_.limits.max_clients || EvictIdle();
+  if (!room && clients_.size() >= options_.limits.max_clients + kMaxOverLimitClients) {
     ++counters_.rejected;
     std::string out;
     pg::AppendError(out, "FATAL", "53300", kTooManyConnections);
@@ -167,7 +168,7 @@
 
 // If the process just ended, the last byte of a statement could cross that, and its client would get no
 // response.
-void ClientListener::RejectIncomplete() {
+void ClientListener::RejectClientsWithoutRequests() {
   const std::unordered_set<ConnectionPtr> clients = clients_;
   for (const ConnectionPtr& client : clients) {
     if (!client->has_pending_responses())
--- a/src/listener/client_listener.hpp
+++ b/src/listener/client_listener.hpp
@@ -30,14 +30,14 @@
 namespace tulipyoke::net {
 
 struct ListenerLimits {
-  std::size_t most_clients = 0;
+  std::size_t max_clients = 0;
   // Open requests; clients may hold no more connections for them than a third of the descriptors.
-  std::size_t most_open = 0;
-  std::size_t kept_clients = 0;      // from this number on a new client replaces an idle one
-  std::size_t most_buffered = 0;     // bytes of all clients: unread ones, and as many in flight
-  std::size_t large_statements = 0;  // bytes reserved for large statements
+  std::size_t max_open_requests = 0;
+  std::size_t eviction_threshold = 0;     // from this number on a new client replaces an idle one
+  std::size_t max_buffered_bytes = 0;     // bytes of all clients: unread ones, and as many in flight
+  std::size_t large_statement_bytes = 0;  // bytes reserved for large statements
   // Open requests of one connection; statements behind them wait until one of them ends.
-  std::size_t most_pipelined = 1;
+  std::size_t max_pipelined_requests = 1;
 };
 
 struct ListenerOptions {
@@ -51,7 +51,7 @@
 // Connections: accepted, rejected for want of places, closed to make place, closed as idle, closed for
 // sending nothing complete in time. Messages that could not be read or used. Failures to accept.
 struct ListenerCounters {
-  std::uint64_t accepted = 0, rejected = 0, evicted = 0, idle = 0, silent = 0;
+  std::uint64_t accepted = 0, rejected = 0, evicted = 0, idle_timeouts = 0, read_timeouts = 0;
   std::uint64_t malformed = 0, accept_errors = 0;
 };
 
@@ -76,7 +76,7 @@
   // New limits, while another process of this router runs or once it has ended.
   void SetLimits(const ListenerLimits& limits);
   // Rejects all clients whose request has not arrived completely: none can be served any more.
-  void RejectIncomplete();
+  void RejectClientsWithoutRequests();
   // Whether a client still waits for a response, for the end of one, or for at most `patience` to complete
   // what it has begun to send.
   bool HasUnfinishedClients(Micros patience) const;
--- a/src/listener/client_messages.cpp
+++ b/src/listener/client_messages.cpp
@@ -141,7 +141,7 @@
     CloseWithError(client, "53300", kTooManyConnections, RetryAfterText(kNoDeadline));
     return true;
   }
-  if (serving_state_.Rejects(clock_.Now())) {
+  if (serving_state_.ShouldReject(clock_.Now())) {
     dispatcher_.CountLocalResponse(class_index, RejectedResponse{});
     CloseWithError(client, "57P03", "out of service: trying again is harmless",
                    RetryAfterText(kOutOfServiceRetryAfter));
@@ -149,9 +149,9 @@
   }
   // If requests take all that clients may hold, nobody can connect, neither to this process nor to the one
   // that takes over.
-  const bool too_many = clients_by_request_.size() >= options_.limits.most_open;
-  const bool too_large =
-      !client->statement_reservation && statement_bytes_ + statement_size > options_.limits.most_buffered;
+  const bool too_many = clients_by_request_.size() >= options_.limits.max_open_requests;
+  const bool too_large = !client->statement_reservation &&
+                         statement_bytes_ + statement_size > options_.limits.max_buffered_bytes;
   if (!too_many && !too_large) return false;
   ++counters_.rejected;
   dispatcher_.CountLocalResponse(class_index, RejectedResponse{});
--- a/src/listener/idle_eviction.cpp
+++ b/src/listener/idle_eviction.cpp
@@ -122,7 +122,7 @@
 }
 
 void ClientListener::CheckTimeouts() {
-  const bool crowded = 3 * clients_.size() > options_.limits.most_clients;
+  const bool crowded = 3 * clients_.size() > options_.limits.max_clients;
   const Micros idle_timeout = crowded ? kIdleTimeoutCrowded : kIdleTimeout;
   const std::unordered_set<ConnectionPtr> clients = clients_;
   for (const ConnectionPtr& client : clients) CheckTimeouts(client, idle_timeout);
@@ -137,14 +137,14 @@
   if (client->closing || busy) return;
   // A client that has only just connected is about to send a request.
   const bool just_connected = !client->has_sent_message && now - client->connected_at <= kFirstRequestGrace;
-  if (serving_state_.ClosesIdle(now, client->last_active) && !just_connected && IsIdle(*client)) {
+  if (serving_state_.ShouldCloseIdle(now, client->last_active) && !just_connected && IsIdle(*client)) {
     return ShutDownWrite(client);
   }
   if (client->over_limit && now - client->connected_at > kOverLimitTimeout) {
     return CloseWithError(client, "53300", kTooManyConnections);
   }
   if (const std::optional<ReadTimeout> timeout = FindReadTimeout(*client)) {
-    ++counters_.silent;
+    ++counters_.read_timeouts;
     const bool no_capacity = *timeout == ReadTimeout::kNoCapacity;
     return CloseWithError(client, no_capacity ? "53300" : "08P01", ToText(*timeout));
   }
@@ -152,7 +152,7 @@
   const bool unread = client->reader.buffered() > 0 || client->socket.available(ignored) > 0;
   if (unread || now - client->last_active <= idle_timeout) return;
   // It has long read its last response: there is no need to wait for its own close, which may never come.
-  ++counters_.idle;
+  ++counters_.idle_timeouts;
   Close(client);
 }
 
--- a/src/server/counters_log.cpp
+++ b/src/server/counters_log.cpp
@@ -31,8 +31,8 @@
   line.Add("accepted", counters.accepted);
   line.Add("turned_away", counters.rejected);
   line.Add("shed", counters.evicted);
-  line.Add("idle", counters.idle);
-  line.Add("silent", counters.silent);
+  line.Add("idle", counters.idle_timeouts);
+  line.Add("silent", counters.read_timeouts);
   line.Add("malformed", counters.malformed);
   line.Add("accept_errors", counters.accept_errors);
   LogInfo("clients", line.text());
--- a/src/server/graceful_shutdown.cpp
+++ b/src/server/graceful_shutdown.cpp
@@ -39,14 +39,14 @@
   const Micros now = clock_.Now();
   const Micros elapsed = now - *begun_at_;
   StopAcceptingAfterDrainWindow(now);
-  if (elapsed >= plan_.answer_by) listener_.RejectIncomplete();
+  if (elapsed >= plan_.answer_by) listener_.RejectClientsWithoutRequests();
   if (Finished(elapsed)) return true;
   ArmTimer();
   return false;
 }
 
 void GracefulShutdown::StopAcceptingAfterDrainWindow(Micros now) {
-  if (!accepting_ || !serving_state_.DrainWindowOver(now)) return;
+  if (!accepting_ || !serving_state_.DrainWindowElapsed(now)) return;
   accepting_ = false;
   // Handed over, what waits in the shared listening socket belongs to the other process.
   if (serving_state_.state() != ServingState::State::kHandedOver) listener_.StopAccepting();
--- a/src/server/resource_quota.cpp
+++ b/src/server/resource_quota.cpp
@@ -46,14 +46,15 @@
   const auto kept_clients = static_cast<std::size_t>(kKeptClientShare * config.max_sockets);
 
   ResourceQuota quota;
-  quota.clients.most_clients = static_cast<std::size_t>(kClientShare * connections);
-  quota.clients.most_open = std::min(quota.clients.most_clients, open_requests);
-  quota.clients.most_pipelined = std::max<std::size_t>(1, quota.clients.most_open / kPipelinedPart);
-  quota.clients.kept_clients = std::min(quota.clients.most_clients, kept_clients);
-  quota.clients.most_buffered = memory_bytes / kBufferedPart;
-  quota.clients.large_statements =
+  quota.clients.max_clients = static_cast<std::size_t>(kClientShare * connections);
+  quota.clients.max_open_requests = std::min(quota.clients.max_clients, open_requests);
+  quota.clients.max_pipelined_requests =
+      std::max<std::size_t>(1, quota.clients.max_open_requests / kPipelinedPart);
+  quota.clients.eviction_threshold = std::min(quota.clients.max_clients, kept_clients);
+  quota.clients.max_buffered_bytes = memory_bytes / kBufferedPart;
+  quota.clients.large_statement_bytes =
       static_cast<std::size_t>(kLargeStatementShare * static_cast<double>(memory_bytes));
-  quota.server_connections = static_cast<std::size_t>(connections) - quota.clients.most_clients;
+  quota.server_connections = static_cast<std::size_t>(connections) - quota.clients.max_clients;
   return quota;
 }
 
--- a/src/serving_state/serving_state.hpp
+++ b/src/serving_state/serving_state.hpp
@@ -57,15 +57,15 @@
   // Each connection is closed after its next answer.
   bool draining() const { return state_ != State::kStarting && state_ != State::kInService; }
   // Clients that were sent here before the load balancer heard of the draining have connected by now.
-  bool DrainWindowOver(Micros now) const { return draining() && now - draining_since_ >= kDrainWindow; }
+  bool DrainWindowElapsed(Micros now) const { return draining() && now - draining_since_ >= kDrainWindow; }
   // Whether an idle connection is closed now. Handed over, there is no hurry: one that has long been idle is
   // the least likely to be used at that very moment, and where it is, its request is rejected.
-  bool ClosesIdle(Micros now, Micros last_active) const {
-    if (!DrainWindowOver(now)) return false;
+  bool ShouldCloseIdle(Micros now, Micros last_active) const {
+    if (!DrainWindowElapsed(now)) return false;
     return state_ != State::kHandedOver || now - last_active >= kLongIdle;
   }
   // Whether a new request is rejected, so that none is in flight when the router has to be empty.
-  bool Rejects(Micros now) const {
+  bool ShouldReject(Micros now) const {
     return state_ == State::kOutOfService && now - draining_since_ >= kServeOutOfService;
   }
 
--- a/tests/server/resource_quota_test.cpp
+++ b/tests/server/resource_quota_test.cpp
@@ -19,30 +19,30 @@
 
 TEST(ResourceQuota, OfAProcessThatIsAlone) {
   const ResourceQuota quota = QuotaFor(ConfigOf(256, kMemory), kWholeShare);
-  EXPECT_EQ(quota.clients.most_clients, 114u);
-  EXPECT_EQ(quota.clients.most_open, 51u);
-  EXPECT_EQ(quota.clients.kept_clients, 64u);
-  EXPECT_EQ(quota.clients.most_buffered, std::size_t{8} << 20);
-  EXPECT_EQ(quota.clients.large_statements, std::size_t{24} << 20);
+  EXPECT_EQ(quota.clients.max_clients, 114u);
+  EXPECT_EQ(quota.clients.max_open_requests, 51u);
+  EXPECT_EQ(quota.clients.eviction_threshold, 64u);
+  EXPECT_EQ(quota.clients.max_buffered_bytes, std::size_t{8} << 20);
+  EXPECT_EQ(quota.clients.large_statement_bytes, std::size_t{24} << 20);
   EXPECT_EQ(quota.server_connections, 94u);
 }
 
 TEST(ResourceQuota, OfEachOfTwoProcesses) {
   const ResourceQuota quota = QuotaFor(ConfigOf(256, kMemory), 0.5);
-  EXPECT_EQ(quota.clients.most_clients, 44u);
-  EXPECT_EQ(quota.clients.most_open, 25u);
-  EXPECT_EQ(quota.clients.kept_clients, 44u);
-  EXPECT_EQ(quota.clients.most_buffered, std::size_t{4} << 20);
-  EXPECT_EQ(quota.clients.large_statements, std::size_t{12} << 20);
+  EXPECT_EQ(quota.clients.max_clients, 44u);
+  EXPECT_EQ(quota.clients.max_open_requests, 25u);
+  EXPECT_EQ(quota.clients.eviction_threshold, 44u);
+  EXPECT_EQ(quota.clients.max_buffered_bytes, std::size_t{4} << 20);
+  EXPECT_EQ(quota.clients.large_statement_bytes, std::size_t{12} << 20);
   EXPECT_EQ(quota.server_connections, 36u);
 }
 
 // With few descriptors, half of them are for connections, although the process itself may use more.
 TEST(ResourceQuota, OfAProcessWithFewDescriptors) {
   const ResourceQuota quota = QuotaFor(ConfigOf(64, kMemory), kWholeShare);
-  EXPECT_EQ(quota.clients.most_clients, 17u);
-  EXPECT_EQ(quota.clients.most_open, 12u);
-  EXPECT_EQ(quota.clients.kept_clients, 16u);
+  EXPECT_EQ(quota.clients.max_clients, 17u);
+  EXPECT_EQ(quota.clients.max_open_requests, 12u);
+  EXPECT_EQ(quota.clients.eviction_threshold, 16u);
   EXPECT_EQ(quota.server_connections, 15u);
 }
 
--- a/tests/server/serving_state_test.cpp
+++ b/tests/server/serving_state_test.cpp
@@ -16,15 +16,15 @@
   service.TakeOutOfService(9'000'000);  // a repetition changes nothing
   EXPECT_FALSE(service.ready());
   EXPECT_TRUE(service.draining());
-  EXPECT_FALSE(service.ClosesIdle(1'400'000, 0));
-  EXPECT_TRUE(service.ClosesIdle(1'500'000, 1'400'000));
-  EXPECT_FALSE(service.Rejects(2'600'000));
-  EXPECT_TRUE(service.Rejects(2'700'000));
+  EXPECT_FALSE(service.ShouldCloseIdle(1'400'000, 0));
+  EXPECT_TRUE(service.ShouldCloseIdle(1'500'000, 1'400'000));
+  EXPECT_FALSE(service.ShouldReject(2'600'000));
+  EXPECT_TRUE(service.ShouldReject(2'700'000));
   EXPECT_TRUE(service.ReturnToService());
   EXPECT_TRUE(service.ReturnToService());
   EXPECT_TRUE(service.ready());
   EXPECT_FALSE(service.draining());
-  EXPECT_FALSE(service.Rejects(9'000'000));
+  EXPECT_FALSE(service.ShouldReject(9'000'000));
 }
 
 TEST(ServingState, StopIsFinalAndRejectsNothing) {
@@ -34,8 +34,8 @@
   service.TakeOutOfService(2'000'000);
   EXPECT_FALSE(service.ReturnToService());
   EXPECT_FALSE(service.ready());
-  EXPECT_TRUE(service.DrainWindowOver(1'500'000));
-  EXPECT_FALSE(service.Rejects(9'000'000));  // each request is still answered
+  EXPECT_TRUE(service.DrainWindowElapsed(1'500'000));
+  EXPECT_FALSE(service.ShouldReject(9'000'000));  // each request is still answered
 }
 
 // Handed over, the router as a whole still accepts clients; only a loss of the newer process makes the older
@@ -47,8 +47,8 @@
   EXPECT_FALSE(service.ready());
   EXPECT_TRUE(service.router_accepts_clients());
   EXPECT_TRUE(service.draining());
-  EXPECT_FALSE(service.ClosesIdle(2'000'000, 1'000'000));
-  EXPECT_TRUE(service.ClosesIdle(2'600'000, 1'000'000));
+  EXPECT_FALSE(service.ShouldCloseIdle(2'000'000, 1'000'000));
+  EXPECT_TRUE(service.ShouldCloseIdle(2'600'000, 1'000'000));
   service.TakeBack(3'000'000);
   EXPECT_TRUE(service.ready());
   service.HandOver(4'000'000);
