--- a/src/serving_state/serving_state.hpp
+++ b/src/serving_state/serving_state.hpp
@@ -1,6 +1,5 @@
-// Whether this process takes clients: one state, which the admin server, the listener, hot restart and the
-// signals read and change. No I/O and no clock of its own: the caller gives the time, in microseconds of the
-// event loop's clock.
+// Whether this process accepts clients. The admin server, the listener, hot restart and shutdown share this
+// state. It does no I/O and reads no clock: callers pass the time in microseconds of the event loop's clock.
 #ifndef TULIPYOKE_SRC_SERVING_STATE_SERVING_STATE_HPP_
 #define TULIPYOKE_SRC_SERVING_STATE_SERVING_STATE_HPP_
 
@@ -8,74 +7,75 @@
 
 namespace tulipyoke::net {
 
-// Used on the event loop's thread only.
+// Used only on the event loop thread.
 class ServingState {
  public:
   enum class State {
     kStarting,
     kInService,
-    kOutOfService,  // by an operator, who may return it to service
-    kHandedOver,    // another process of this router takes the clients
+    kOutOfService,  // on an operator's command, which can be reverted
+    kHandedOver,    // another process of this router accepts the clients
     kStopping,
   };
 
-  // It takes clients from now on, unless it was taken out of service before it was ready.
+  // The process is ready and accepts clients, unless an operator has already taken it out of service.
   void Start() {
     if (state_ == State::kStarting) state_ = State::kInService;
   }
   void TakeOutOfService(Micros now) {
     if (state_ == State::kStarting || state_ == State::kInService) BeginDraining(now, State::kOutOfService);
   }
-  // False where the process is stopping, which cannot be undone.
+  // Returns false if the process is stopping, which cannot be undone.
   bool ReturnToService() {
-    if (stopped_) return false;
+    if (stop_requested_) return false;
     if (state_ == State::kOutOfService) state_ = State::kInService;
     return true;
   }
   void Stop(Micros now) {
-    stopped_ = true;
-    if (state_ == State::kHandedOver) return;  // nothing changes for the clients
-    // Out of service, its drain window began back then and goes on.
+    stop_requested_ = true;
+    if (state_ == State::kHandedOver) return;  // the other process already accepts the clients
+    // The drain window began when the process was taken out of service, and is not restarted.
     if (state_ == State::kOutOfService) state_ = State::kStopping;
     if (state_ != State::kStopping) BeginDraining(now, State::kStopping);
   }
   void HandOver(Micros now) {
     if (state_ == State::kInService) BeginDraining(now, State::kHandedOver);
   }
-  // The process that took over is gone: this one takes the clients again, unless it is to stop itself.
+  // The process that took over has ended. This one accepts clients again, or drains if it was told to stop.
   void TakeBack(Micros now) {
     if (state_ != State::kHandedOver) return;
     state_ = State::kInService;
-    if (stopped_) BeginDraining(now, State::kStopping);
+    if (stop_requested_) BeginDraining(now, State::kStopping);
   }
 
   State state() const { return state_; }
-  // Whether this process takes clients: the admin server's readiness.
+  // Whether this process accepts clients; the admin server reports it as readiness.
   bool ready() const { return state_ == State::kInService; }
-  // Whether the router takes clients, in whichever process: what the empty query is answered by.
+  // Whether the router accepts clients in any of its processes. If not, empty queries get an error.
   bool router_accepts_clients() const { return ready() || state_ == State::kHandedOver; }
-  // Each connection is closed after its next answer.
+  // While draining, each connection is closed after its next response.
   bool draining() const { return state_ != State::kStarting && state_ != State::kInService; }
-  // Clients that were sent here before the load balancer heard of the draining have connected by now.
+  // Whether all clients that the load balancer sent here before it noticed the drain have connected by now.
   bool DrainWindowElapsed(Micros now) const { return draining() && now - draining_since_ >= kDrainWindow; }
-  // Whether an idle connection is closed now. Handed over, there is no hurry: one that has long been idle is
-  // the least likely to be used at that very moment, and where it is, its request is rejected.
+  // Whether an idle connection is closed now. After a handover only connections that have been idle for long
+  // are closed, because they are the least likely to be used at that moment. A request that arrives during
+  // the close is discarded.
   bool ShouldCloseIdle(Micros now, Micros last_active) const {
     if (!DrainWindowElapsed(now)) return false;
-    return state_ != State::kHandedOver || now - last_active >= kLongIdle;
+    return state_ != State::kHandedOver || now - last_active >= kHandedOverMinIdle;
   }
-  // Whether a new request is rejected, so that none is in flight when the router has to be empty.
+  // Whether new requests are rejected, so that none is in flight by the time the drain must be complete.
   bool ShouldReject(Micros now) const {
-    return state_ == State::kOutOfService && now - draining_since_ >= kServeOutOfService;
+    return state_ == State::kOutOfService && now - draining_since_ >= kOutOfServiceGrace;
   }
 
  private:
-  // The load balancer in front checks readiness every 0.1 s and sends connections for 0.2 s after the first
-  // "no"; on a stop for 0.4 s.
+  // The load balancer checks readiness every 0.1 s and sends connections for up to 0.2 s after the first
+  // "no", or up to 0.4 s on a stop.
   static constexpr Micros kDrainWindow = 500'000;
-  // How long a process that is out of service goes on serving requests.
-  static constexpr Micros kServeOutOfService = 1'700'000;
-  static constexpr Micros kLongIdle = 1'500'000;
+  // How long a process that is out of service continues to serve requests.
+  static constexpr Micros kOutOfServiceGrace = 1'700'000;
+  static constexpr Micros kHandedOverMinIdle = 1'500'000;
 
   void BeginDraining(Micros now, State state) {
     state_ = state;
@@ -83,7 +83,7 @@
   }
 
   State state_ = State::kStarting;
-  bool stopped_ = false;
+  bool stop_requested_ = false;
   Micros draining_since_ = 0;
 };
 
--- a/tests/server/serving_state_test.cpp
+++ b/tests/server/serving_state_test.cpp
@@ -1,4 +1,4 @@
-// The state that says whether a process takes clients.
+// Tests the state that decides whether a process accepts clients.
 #include "src/serving_state/serving_state.hpp"
 
 #include <gtest/gtest.h>
@@ -6,65 +6,66 @@
 namespace tulipyoke::net {
 namespace {
 
-// Out of service, it is not ready at once, serves on for a while, and can return to service.
-TEST(ServingState, DrainsOutOfServiceAndReturns) {
-  ServingState service;
-  EXPECT_FALSE(service.ready());
-  service.Start();
-  EXPECT_TRUE(service.ready());
-  service.TakeOutOfService(1'000'000);
-  service.TakeOutOfService(9'000'000);  // a repetition changes nothing
-  EXPECT_FALSE(service.ready());
-  EXPECT_TRUE(service.draining());
-  EXPECT_FALSE(service.ShouldCloseIdle(1'400'000, 0));
-  EXPECT_TRUE(service.ShouldCloseIdle(1'500'000, 1'400'000));
-  EXPECT_FALSE(service.ShouldReject(2'600'000));
-  EXPECT_TRUE(service.ShouldReject(2'700'000));
-  EXPECT_TRUE(service.ReturnToService());
-  EXPECT_TRUE(service.ReturnToService());
-  EXPECT_TRUE(service.ready());
-  EXPECT_FALSE(service.draining());
-  EXPECT_FALSE(service.ShouldReject(9'000'000));
+// A process taken out of service stops being ready at once, continues to serve for a while, and can return to
+// service.
+TEST(ServingState, DrainsWhenTakenOutOfServiceAndCanReturn) {
+  ServingState serving_state;
+  EXPECT_FALSE(serving_state.ready());
+  serving_state.Start();
+  EXPECT_TRUE(serving_state.ready());
+  serving_state.TakeOutOfService(1'000'000);
+  serving_state.TakeOutOfService(9'000'000);  // repeating the command has no effect
+  EXPECT_FALSE(serving_state.ready());
+  EXPECT_TRUE(serving_state.draining());
+  EXPECT_FALSE(serving_state.ShouldCloseIdle(1'400'000, 0));
+  EXPECT_TRUE(serving_state.ShouldCloseIdle(1'500'000, 1'400'000));
+  EXPECT_FALSE(serving_state.ShouldReject(2'600'000));
+  EXPECT_TRUE(serving_state.ShouldReject(2'700'000));
+  EXPECT_TRUE(serving_state.ReturnToService());
+  EXPECT_TRUE(serving_state.ReturnToService());
+  EXPECT_TRUE(serving_state.ready());
+  EXPECT_FALSE(serving_state.draining());
+  EXPECT_FALSE(serving_state.ShouldReject(9'000'000));
 }
 
 TEST(ServingState, StopIsFinalAndRejectsNothing) {
-  ServingState service;
-  service.Start();
-  service.Stop(1'000'000);
-  service.TakeOutOfService(2'000'000);
-  EXPECT_FALSE(service.ReturnToService());
-  EXPECT_FALSE(service.ready());
-  EXPECT_TRUE(service.DrainWindowElapsed(1'500'000));
-  EXPECT_FALSE(service.ShouldReject(9'000'000));  // each request is still answered
+  ServingState serving_state;
+  serving_state.Start();
+  serving_state.Stop(1'000'000);
+  serving_state.TakeOutOfService(2'000'000);
+  EXPECT_FALSE(serving_state.ReturnToService());
+  EXPECT_FALSE(serving_state.ready());
+  EXPECT_TRUE(serving_state.DrainWindowElapsed(1'500'000));
+  EXPECT_FALSE(serving_state.ShouldReject(9'000'000));  // requests still get a response
 }
 
-// Handed over, the router as a whole still accepts clients; only a loss of the newer process makes the older
-// one serve again, unless it was stopped.
+// After a handover the router as a whole still accepts clients. The older process serves again only if the
+// newer one is lost, and not if it was told to stop itself.
 TEST(ServingState, HandedOverAcceptsClientsAndTakesBackUnlessStopped) {
-  ServingState service;
-  service.Start();
-  service.HandOver(1'000'000);
-  EXPECT_FALSE(service.ready());
-  EXPECT_TRUE(service.router_accepts_clients());
-  EXPECT_TRUE(service.draining());
-  EXPECT_FALSE(service.ShouldCloseIdle(2'000'000, 1'000'000));
-  EXPECT_TRUE(service.ShouldCloseIdle(2'600'000, 1'000'000));
-  service.TakeBack(3'000'000);
-  EXPECT_TRUE(service.ready());
-  service.HandOver(4'000'000);
-  service.Stop(5'000'000);
-  EXPECT_TRUE(service.router_accepts_clients());
-  service.TakeBack(6'000'000);
-  EXPECT_FALSE(service.router_accepts_clients());
-  EXPECT_FALSE(service.ReturnToService());
+  ServingState serving_state;
+  serving_state.Start();
+  serving_state.HandOver(1'000'000);
+  EXPECT_FALSE(serving_state.ready());
+  EXPECT_TRUE(serving_state.router_accepts_clients());
+  EXPECT_TRUE(serving_state.draining());
+  EXPECT_FALSE(serving_state.ShouldCloseIdle(2'000'000, 1'000'000));
+  EXPECT_TRUE(serving_state.ShouldCloseIdle(2'600'000, 1'000'000));
+  serving_state.TakeBack(3'000'000);
+  EXPECT_TRUE(serving_state.ready());
+  serving_state.HandOver(4'000'000);
+  serving_state.Stop(5'000'000);
+  EXPECT_TRUE(serving_state.router_accepts_clients());
+  serving_state.TakeBack(6'000'000);
+  EXPECT_FALSE(serving_state.router_accepts_clients());
+  EXPECT_FALSE(serving_state.ReturnToService());
 }
 
-// An operator's call before the start is not overridden by the start.
-TEST(ServingState, TakenOutBeforeStartStaysOut) {
-  ServingState service;
-  service.TakeOutOfService(1);
-  service.Start();
-  EXPECT_FALSE(service.ready());
+// An operator's command before the start is not overridden by the start.
+TEST(ServingState, StartDoesNotReturnItToService) {
+  ServingState serving_state;
+  serving_state.TakeOutOfService(1);
+  serving_state.Start();
+  EXPECT_FALSE(serving_state.ready());
 }
 
 }  // namespace
