--- a/src/listener/arrival_times.hpp
+++ b/src/listener/arrival_times.hpp
@@ -1,4 +1,4 @@
-// When the unprocessed bytes of a stream arrived.
+// Records when the unprocessed bytes of a stream arrived.
 #ifndef TULIPYOKE_SRC_LISTENER_ARRIVAL_TIMES_HPP_
 #define TULIPYOKE_SRC_LISTENER_ARRIVAL_TIMES_HPP_
 
@@ -10,37 +10,38 @@
 
 namespace tulipyoke::net {
 
-// Bounded: if bytes arrived at more moments than are kept, some count as arrived later than they did.
+// Keeps at most kMaxMarks arrival times. Beyond that, bytes are merged with later ones and count as arrived
+// later than they did.
 class ArrivalTimes {
  public:
-  // `size` further bytes arrived at `now`.
+  // Records that `size` more bytes arrived at `now`.
   void Add(std::size_t size, Micros now) {
-    came_ += size;
-    const bool merges = !marks_.empty() && (marks_.size() >= kMostMarks || marks_.back().when == now);
+    arrived_ += size;
+    const bool merges = !marks_.empty() && (marks_.size() >= kMaxMarks || marks_.back().time == now);
     if (merges) {
-      marks_.back() = {came_, now};
+      marks_.back() = {arrived_, now};
     } else {
-      marks_.push_back({came_, now});
+      marks_.push_back({arrived_, now});
     }
   }
-  // The next `size` bytes are processed. Returns when the last of them arrived.
+  // Marks the next `size` bytes as processed and returns the time at which the last of them arrived.
   Micros Take(std::size_t size) {
-    taken_ += size;
-    while (marks_.size() > 1 && marks_.front().up_to < taken_) marks_.pop_front();
-    const Micros when = marks_.empty() ? 0 : marks_.front().when;
-    while (!marks_.empty() && marks_.front().up_to <= taken_) marks_.pop_front();
-    return when;
+    processed_ += size;
+    while (marks_.size() > 1 && marks_.front().end_offset < processed_) marks_.pop_front();
+    const Micros time = marks_.empty() ? 0 : marks_.front().time;
+    while (!marks_.empty() && marks_.front().end_offset <= processed_) marks_.pop_front();
+    return time;
   }
 
  private:
-  static constexpr std::size_t kMostMarks = 64;
+  static constexpr std::size_t kMaxMarks = 64;
 
   struct Mark {
-    std::uint64_t up_to = 0;  // bytes of the stream that had arrived by then
-    Micros when = 0;
+    std::uint64_t end_offset = 0;  // number of bytes of the stream that had arrived by `time`
+    Micros time = 0;
   };
   std::deque<Mark> marks_;
-  std::uint64_t came_ = 0, taken_ = 0;
+  std::uint64_t arrived_ = 0, processed_ = 0;
 };
 
 }  // namespace tulipyoke::net
--- a/src/listener/client_connection.hpp
+++ b/src/listener/client_connection.hpp
@@ -1,4 +1,4 @@
-// The state of one client connection. Owned by the ClientListener, used on the event loop's thread only.
+// State of one client connection. The ClientListener owns it and uses it only on the event loop thread.
 #ifndef TULIPYOKE_SRC_LISTENER_CLIENT_CONNECTION_HPP_
 #define TULIPYOKE_SRC_LISTENER_CLIENT_CONNECTION_HPP_
 
@@ -20,17 +20,17 @@
 
 namespace tulipyoke::net {
 
-inline constexpr std::size_t kReadSize = 8192;  // bytes of one read
+inline constexpr std::size_t kReadSize = 8192;  // maximum bytes per socket read
 
-// The response to one message or to several in a row, in its place in the order in which it is sent.
+// A queued response to one client message, or to several consecutive ones. Responses are sent in queue order.
 struct PendingResponse {
-  RequestId request = 0;                   // the open request; 0: the response is complete
-  std::string client_request_id;           // what the client calls the request
-  std::uint64_t written_session = 0;       // the session that the request writes; 0: none
-  std::shared_ptr<ResponseStream> stream;  // a large value that is forwarded as it comes
+  RequestId request = 0;                   // the open request, or 0 if the response is complete
+  std::string client_request_id;           // the request id that the client assigned
+  std::uint64_t written_session = 0;       // the session that the request writes to, or 0
+  std::shared_ptr<ResponseStream> stream;  // a large value, forwarded as it arrives from the server
   bool stream_started = false;
-  bool closes_connection = false;   // the connection is closed behind it
-  std::size_t statement_bytes = 0;  // of the statement, while it is in flight
+  bool closes_connection = false;   // the connection is closed after this response
+  std::size_t statement_bytes = 0;  // size of the statement while it is in flight
   std::string bytes;
 
   bool is_open() const { return request != 0; }
@@ -41,43 +41,43 @@
 
   asio::ip::tcp::socket socket;
   pg::MessageReader reader{true, pg::kMaxStatementSize};
-  StatementBudget::Room statement_reservation;  // for the large statement that is being read
+  StatementBudget::Reservation statement_reservation;  // memory for the large statement being read
   bool awaits_reservation = false;
-  bool started = false;  // the startup is complete
+  bool startup_complete = false;  // the startup message has been processed
   bool reading = false;
   bool writing = false;
-  bool skipping_to_sync = false;  // after an error in the extended query protocol
-  bool closing = false;           // the last message is being sent; nothing more is read as messages
+  bool skipping_to_sync = false;  // extended-query messages are ignored until Sync or a simple query
+  bool closing = false;           // the last message is being sent; further input is discarded
   bool write_shut_down = false;
   bool closed = false;
-  bool processing_scheduled = false;  // the rest of its messages waits for the next turn
-  // Responses that are not being sent yet, in the order of the messages; the first one's request is open.
+  bool processing_scheduled = false;  // remaining messages are processed in the next event loop turn
+  // Responses not yet sent, in the order of the client's messages. The first one belongs to an open request.
   std::deque<PendingResponse> pending_responses;
   std::size_t open_requests = 0;
-  ArrivalTimes arrivals;       // of the bytes that wait in the reader
-  Micros message_arrived = 0;  // when the last byte of the message that is being handled arrived
-  bool input_ended = false;    // the last pending response closes the connection: what follows is discarded
+  ArrivalTimes arrivals;          // of the bytes buffered in the reader
+  Micros message_arrived_at = 0;  // when the last byte of the message being processed arrived
+  bool input_ended = false;  // the last pending response closes the connection; further input is discarded
   int finished_requests = 0;
-  int rejected_statements = 0;    // in a row
-  bool over_limit = false;        // to be rejected once it has said for what
-  bool has_sent_message = false;  // since its startup
+  int consecutive_rejections = 0;  // statements rejected in a row
+  bool over_limit = false;         // accepted beyond the limit: its first valid statement is rejected
+  bool has_sent_message = false;   // since the startup
   std::size_t discarded_bytes = 0;
   Micros connected_at = 0;
   Micros last_active = 0;
   Micros closing_since = 0;
-  Micros login_started = 0;  // when it connected, or its startup was complete
-  Micros message_since = 0;  // when the message that is not complete yet began to arrive
-  // Its parts of the listener's sums.
+  Micros login_step_started = 0;  // when the client connected, later when its startup completed
+  Micros message_started_at = 0;  // when the incomplete message began to arrive
+  // This connection's share of the listener's totals.
   std::size_t unread_bytes = 0;
-  std::size_t retained_bytes = 0;
+  std::size_t queued_bytes = 0;
   std::string output;
   std::string output_in_flight;
   std::array<char, kReadSize> input{};
 
-  std::size_t unsent() const { return output.size() + output_in_flight.size(); }
+  std::size_t unsent_bytes() const { return output.size() + output_in_flight.size(); }
   bool has_pending_responses() const { return !pending_responses.empty(); }
-  // The response to that request; null: there is none.
-  PendingResponse* Find(RequestId request) {
+  // Returns the pending response to `request`, or null if there is none.
+  PendingResponse* FindPendingResponse(RequestId request) {
     const auto found =
         std::find_if(pending_responses.begin(), pending_responses.end(),
                      [&](const PendingResponse& response) { return response.request == request; });
--- a/src/listener/client_io.cpp
+++ b/src/listener/client_io.cpp
@@ -1,4 +1,4 @@
-// Reading from and writing to client connections, and closing them.
+// Reads from, writes to and closes client connections.
 #include <poll.h>
 #include <sys/socket.h>
 
@@ -15,18 +15,19 @@
 namespace tulipyoke::net {
 namespace {
 
-// Bytes read ahead of a pending response; beyond them reading pauses.
+// Reading pauses while a response is pending and more than this many unprocessed bytes are buffered.
 constexpr std::size_t kMaxReadAhead = 65536;
-// Bytes of responses that a client has not read yet; beyond them its next statements wait.
+// Limit of response bytes not yet written to a client's socket. Its next statements wait while it is reached.
 constexpr std::size_t kMaxUnsentBytes = std::size_t{16} << 10;
-// Bytes of responses of one client that wait for an earlier one; beyond them its next statements wait.
-constexpr std::size_t kMaxRetainedBytes = std::size_t{64} << 10;
-// Once one part in so many of the allowed open requests is used, no client gets a second one beside its
-// first.
-constexpr std::size_t kPipelinedDivisor = 2;
-// Messages of one client processed per turn of the event loop, so that others are not delayed.
+// Limit of one client's response bytes queued behind an open request. Its next statements wait while it is
+// reached.
+constexpr std::size_t kMaxQueuedBytes = std::size_t{64} << 10;
+// No client gets a second open request once the open requests of all clients reach max_open_requests divided
+// by this.
+constexpr std::size_t kPipeliningDivisor = 2;
+// Messages of one client processed per turn of the event loop, so that other clients are not delayed.
 constexpr int kMaxMessagesPerTurn = 16;
-// Bytes discarded of a client that goes on sending behind the end of its session; then reading pauses.
+// After this many bytes that a client sent beyond the end of its session, reading from it stops.
 constexpr std::size_t kMaxDiscardedBytes = std::size_t{64} << 10;
 
 }  // namespace
@@ -40,14 +41,15 @@
                                    if (client->closed) return;
                                    if (error) return Close(client);
                                    if (client->closing || client->input_ended) {
-                                     // Only its close is awaited; what it goes on sending is read up to a
+                                     // The client is expected to close. Further input is discarded, up to a
                                      // limit.
                                      client->discarded_bytes += size;
                                      if (client->discarded_bytes < kMaxDiscardedBytes) Read(client);
                                      return;
                                    }
                                    client->last_active = clock_.Now();
-                                   if (client->reader.buffered() == 0) client->message_since = clock_.Now();
+                                   if (client->reader.buffered() == 0)
+                                     client->message_started_at = clock_.Now();
                                    client->reader.Feed(std::string_view(client->input.data(), size));
                                    client->arrivals.Add(size, clock_.Now());
                                    ProcessInput(client);
@@ -55,13 +57,13 @@
 }
 
 bool ClientListener::MayProcessNext(const ClientConnection& client) const {
-  if (client.closing || client.closed || client.input_ended || client.unsent() >= kMaxUnsentBytes)
+  if (client.closing || client.closed || client.input_ended || client.unsent_bytes() >= kMaxUnsentBytes)
     return false;
   if (!client.has_pending_responses()) return true;
-  // Further requests beside the first one only as far as enough is left for other clients.
+  // Pipelined requests are admitted only while enough capacity remains for other clients.
   return client.open_requests < options_.limits.max_pipelined_requests &&
-         client.retained_bytes < kMaxRetainedBytes && retained_bytes_ < options_.limits.max_buffered_bytes &&
-         kPipelinedDivisor * clients_by_request_.size() < options_.limits.max_open_requests;
+         client.queued_bytes < kMaxQueuedBytes && queued_bytes_ < options_.limits.max_buffered_bytes &&
+         kPipeliningDivisor * clients_by_request_.size() < options_.limits.max_open_requests;
 }
 
 void ClientListener::ProcessInput(const ConnectionPtr& client) {
@@ -69,24 +71,26 @@
   FlushResponses(client);
   ProcessMessages(client);
   if (client->closed) return;
-  const bool output_full = client->unsent() >= kMaxUnsentBytes;
+  const bool output_full = client->unsent_bytes() >= kMaxUnsentBytes;
   const bool reserved = ReserveStatement(client);
-  const bool crowded = CountUnread(client);
-  if (crowded && !client->has_pending_responses() && !client->closing) {
+  const bool unread_limit_reached = UpdateUnreadBytes(client);
+  if (unread_limit_reached && !client->has_pending_responses() && !client->closing) {
     ++counters_.rejected;
     CloseWithError(client, "53300", "too much is waiting to be read");
   }
-  // Closed right behind its response, so that no next request crosses the close.
+  // Closes right after the response, so that the client cannot send its next request while the connection is
+  // being closed.
   if (serving_state_.draining() && client->has_sent_message && IsIdle(*client)) return ShutDownWrite(client);
   Write(client);
   if (client->closed) return;
-  const bool output_drained = client->unsent() < kMaxUnsentBytes;
-  // Messages that waited while responses were unsent.
+  const bool output_drained = client->unsent_bytes() < kMaxUnsentBytes;
+  // Processes the messages that had to wait for unsent responses.
   if (output_full && output_drained && client->reader.buffered() > 0) ScheduleProcessing(client);
   if (!reserved) return;
-  // A complete message may be larger than what is read ahead of a response.
+  // One message can exceed the read-ahead limit, so reading goes on if no response is pending.
   const bool needs_more = !client->has_pending_responses() && output_drained;
-  const bool may_read_ahead = output_drained && !crowded && client->reader.buffered() < kMaxReadAhead;
+  const bool may_read_ahead =
+      output_drained && !unread_limit_reached && client->reader.buffered() < kMaxReadAhead;
   if (needs_more || may_read_ahead) Read(client);
 }
 
@@ -99,9 +103,9 @@
     const std::size_t before = client->reader.buffered();
     const std::optional<pg::Message> message = client->reader.Next();
     if (!message) break;
-    client->message_arrived = client->arrivals.Take(before - client->reader.buffered());
-    client->message_since = clock_.Now();
-    if (message->type == '\0' && !client->started) {
+    client->message_arrived_at = client->arrivals.Take(before - client->reader.buffered());
+    client->message_started_at = clock_.Now();
+    if (message->type == '\0' && !client->startup_complete) {
       OnStartup(client, message->body);
     } else {
       OnMessage(client, message->type, message->body);
@@ -110,7 +114,7 @@
   if (const std::optional<pg::ProtocolError> error = client->reader.error()) OnProtocolError(client, *error);
 }
 
-bool ClientListener::CountUnread(const ConnectionPtr& client) {
+bool ClientListener::UpdateUnreadBytes(const ConnectionPtr& client) {
   const bool uncounted = client->closing || client->statement_reservation;
   const std::size_t unread = uncounted ? 0 : client->reader.buffered();
   unread_bytes_ += unread - client->unread_bytes;
@@ -119,19 +123,19 @@
 }
 
 bool ClientListener::ReserveStatement(const ConnectionPtr& client) {
-  const std::size_t wanted = !client->has_pending_responses() && !client->closing
-                                 ? client->reader.PendingMessageSize().value_or(0)
-                                 : 0;
-  if (wanted <= pg::kMaxMessageSize) {
+  const std::size_t statement_size = !client->has_pending_responses() && !client->closing
+                                         ? client->reader.PendingMessageSize().value_or(0)
+                                         : 0;
+  if (statement_size <= pg::kMaxMessageSize) {
     client->statement_reservation.reset();
     return true;
   }
   if (client->statement_reservation) return true;
-  // First come, first served.
+  // Reservations are granted in the order in which they were requested.
   if (awaiting_reservation_.empty() || client->awaits_reservation)
-    client->statement_reservation = statement_budget_.Reserve(wanted);
+    client->statement_reservation = statement_budget_.Reserve(statement_size);
   if (client->statement_reservation) {
-    client->reader.Reserve(wanted);
+    client->reader.Reserve(statement_size);
   } else if (!std::exchange(client->awaits_reservation, true)) {
     awaiting_reservation_.push_back(client);
   }
@@ -162,12 +166,13 @@
 }
 
 bool ClientListener::HasDisconnected(ClientConnection& client) {
-  pollfd look{client.socket.native_handle(), POLLRDHUP, 0};
-  return ::poll(&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  pollfd poll_fd{client.socket.native_handle(), POLLRDHUP, 0};
+  return ::poll(&poll_fd, 1, 0) > 0 && (poll_fd.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-// Directly, as far as the socket takes it. The last message leaves in one segment with the end of the stream:
-// a client that had it first could send another request in between.
+// Writes synchronously as much as the socket accepts, the rest asynchronously. MSG_MORE puts the last message
+// and the FIN into one segment: a client that got the message first could send another request before the
+// FIN.
 void ClientListener::Write(const ConnectionPtr& client) {
   if (client->writing || client->closed) return;
   if (!client->output.empty()) {
@@ -209,25 +214,25 @@
                                     std::string_view message, std::string_view detail) {
   if (client->closing || client->closed || client->input_ended) return;
   client->statement_reservation.reset();
-  client->reader = pg::MessageReader(false);  // its input is not kept while the connection closes
+  client->reader = pg::MessageReader(false);  // drops buffered input while the connection closes
   client->arrivals = {};
-  std::string last_words;
-  pg::AppendError(last_words, "FATAL", code, message, detail);
+  std::string fatal_error;
+  pg::AppendError(fatal_error, "FATAL", code, message, detail);
   if (client->has_pending_responses()) {
-    // Behind the responses that are pending.
-    Respond(*client, last_words);
+    // The error is sent after the pending responses.
+    Respond(*client, fatal_error);
     client->pending_responses.back().closes_connection = true;
     client->input_ended = true;
     return;
   }
   client->closing = true;
   client->closing_since = clock_.Now();
-  client->output += last_words;
+  client->output += fatal_error;
   Write(client);
 }
 
-// Ends the sending and waits for the client to do the same: closing at once could destroy what it has not
-// read.
+// Shuts down the sending direction and waits for the client to close: an immediate close could discard data
+// that the client has not read.
 void ClientListener::ShutDownWrite(const ConnectionPtr& client) {
   if (!client->closing) client->closing_since = clock_.Now();
   client->closing = true;
@@ -245,8 +250,9 @@
   client->socket.close(ignored);
   unread_bytes_ -= std::exchange(client->unread_bytes, 0);
   client->statement_reservation.reset();
-  retained_bytes_ -= std::exchange(client->retained_bytes, 0);
-  // The last request first: one that waits for an earlier one must not start as that ends.
+  queued_bytes_ -= std::exchange(client->queued_bytes, 0);
+  // Cancels the last request first: a request that waits for an earlier one must not start when that one
+  // ends.
   for (auto pending = client->pending_responses.rbegin(); pending != client->pending_responses.rend();
        ++pending) {
     if (!pending->is_open()) continue;
--- a/src/listener/client_listener.cpp
+++ b/src/listener/client_listener.cpp
@@ -1,4 +1,4 @@
-// Accepting connections, the limits of their number, and the end of the listener.
+// Accepts connections, limits their number, and stops the listener.
 #include "src/listener/client_listener.hpp"
 
 #include <fcntl.h>
@@ -17,15 +17,17 @@
 namespace tulipyoke::net {
 namespace {
 
-// Idle clients closed for one new one at most: more than one, so that their number falls after a burst.
+// Maximum idle clients evicted per new client. It is more than one, so that the number falls after a burst.
 constexpr int kMaxEvictionsPerAccept = 2;
-// While places are left, only clients are evicted that have been idle for this long: a client that has just
-// had a response often sends its next request at once, which would cross the close.
+// Until eviction_threshold is exceeded by an eighth, only clients that have been idle for this long are
+// evicted: a client that has just received a response often sends its next request at once, and the close
+// would lose it.
 constexpr Micros kMinIdleForEviction = 200'000;
-// Clients beyond the limit that may still send a statement to be rejected; any more are rejected at once.
+// Connections accepted beyond the limit so that their first statement gets a proper rejection. Any further
+// connection is rejected at once.
 constexpr std::size_t kMaxOverLimitClients = 16;
 constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);
-// How long a process that shuts down waits for clients to read their last message and close.
+// How long a shutdown waits for a client to read its last message and close.
 constexpr Micros kShutdownLinger = 100'000;
 
 }  // namespace
@@ -48,7 +50,8 @@
   });
   try {
     if (options.accept_fd >= 0) {
-      // Not inherited by child processes. Never shut down, because other processes share it.
+      // The descriptor is not inherited by child processes, and never shut down, because other processes
+      // share the socket.
       ::fcntl(options.accept_fd, F_SETFD, FD_CLOEXEC);
       acceptor_.assign(options.listen.protocol(), options.accept_fd);
       acceptor_.local_endpoint();
@@ -90,8 +93,8 @@
 void ClientListener::SetLimits(const ListenerLimits& limits) {
   options_.limits = limits;
   statement_budget_.Resize(limits.large_statement_bytes);
-  // In a handler of its own: an update from another process can arrive while a request is being submitted,
-  // and its client, which looks idle until then, must not be closed.
+  // Posted, because an update from another process can arrive while a request is being submitted. Its client
+  // still looks idle at that point and must not be closed.
   asio::post(io_, [this] {
     while (clients_.size() > options_.limits.max_clients && EvictIdle()) {
     }
@@ -103,10 +106,10 @@
     if (!error) AddConnection(std::move(socket));
     if (!accepting_ || error == asio::error::operation_aborted || !acceptor_.is_open()) return;
     if (!error) return Accept();
-    // Out of descriptors or memory: evict an idle client and retry shortly.
+    // Usually descriptors or memory have run out: evicts an idle client and retries after a delay.
     ++counters_.accept_errors;
-    const bool gone_already = error == asio::error::connection_aborted;
-    if (!gone_already && !EvictIdle()) {
+    const bool client_aborted = error == asio::error::connection_aborted;
+    if (!client_aborted && !EvictIdle()) {
       LogWarning("accept_failed", "cannot accept a client: " + error.message(), {{"why", error.message()}});
     }
     accept_pause_.ExpireAfter(kAcceptRetryDelay, [this] { Accept(); });
@@ -117,16 +120,16 @@
   ++counters_.accepted;
   std::error_code ignored;
   socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-  // Clients may use only a part of the descriptors. Where each request comes on a connection of its own that
-  // stays open, idle ones are evicted before that part is used up.
+  // Clients may use only a part of the descriptors. If clients open a connection per request and keep it
+  // open, idle ones are evicted before that part is used up.
   for (int evicted = 0;
        evicted < kMaxEvictionsPerAccept && clients_.size() >= options_.limits.eviction_threshold; ++evicted) {
     const bool urgent =
         clients_.size() >= options_.limits.eviction_threshold + options_.limits.eviction_threshold / 8;
     if (!EvictIdle(urgent ? 0 : kMinIdleForEviction)) break;
   }
-  const bool room = clients_.size() < options_.limits.max_clients || EvictIdle();
-  if (!room && clients_.size() >= options_.limits.max_clients + kMaxOverLimitClients) {
+  const bool below_limit = clients_.size() < options_.limits.max_clients || EvictIdle();
+  if (!below_limit && clients_.size() >= options_.limits.max_clients + kMaxOverLimitClients) {
     ++counters_.rejected;
     std::string out;
     pg::AppendError(out, "FATAL", "53300", kTooManyConnections);
@@ -135,21 +138,23 @@
     return;
   }
   const auto client = std::make_shared<ClientConnection>(std::move(socket));
-  client->connected_at = client->login_started = client->last_active = client->message_since = clock_.Now();
+  client->connected_at = client->login_step_started = client->last_active = client->message_started_at =
+      clock_.Now();
   clients_.insert(client);
-  client->over_limit = !room;
-  if (!room) ++counters_.rejected;
+  client->over_limit = !below_limit;
+  if (!below_limit) ++counters_.rejected;
   Read(client);
 }
 
-bool ClientListener::HasUnfinishedClients(Micros patience) const {
+bool ClientListener::HasUnfinishedClients(Micros grace) const {
   const Micros now = clock_.Now();
   return std::any_of(clients_.begin(), clients_.end(), [&](const ConnectionPtr& client) {
-    if (client->has_pending_responses() || client->unsent() > 0 || client->processing_scheduled) return true;
+    if (client->has_pending_responses() || client->unsent_bytes() > 0 || client->processing_scheduled)
+      return true;
     if (client->closing) return now - client->closing_since < kShutdownLinger;
     std::error_code error;
-    return now - client->connected_at < patience || client->socket.available(error) > 0 ||
-           (client->reader.buffered() > 0 && now - client->message_since < patience);
+    return now - client->connected_at < grace || client->socket.available(error) > 0 ||
+           (client->reader.buffered() > 0 && now - client->message_started_at < grace);
   });
 }
 
@@ -166,8 +171,8 @@
   acceptor_.close(ignored);
 }
 
-// If the process just ended, the last byte of a statement could cross that, and its client would get no
-// response.
+// If the process exited without this error, the last byte of a statement could arrive during the exit and its
+// client would get no response.
 void ClientListener::RejectClientsWithoutRequests() {
   const std::unordered_set<ConnectionPtr> clients = clients_;
   for (const ConnectionPtr& client : clients) {
--- a/src/listener/client_listener.hpp
+++ b/src/listener/client_listener.hpp
@@ -1,4 +1,4 @@
-// The client side: accepts connections, reads requests and sends the responses in the order of the requests.
+// Accepts client connections, reads requests and sends the responses in request order.
 #ifndef TULIPYOKE_SRC_LISTENER_CLIENT_LISTENER_HPP_
 #define TULIPYOKE_SRC_LISTENER_CLIENT_LISTENER_HPP_
 
@@ -31,25 +31,27 @@
 
 struct ListenerLimits {
   std::size_t max_clients = 0;
-  // Open requests; clients may hold no more connections for them than a third of the descriptors.
+  // Open requests of all clients. Client connections may use no more than a third of the descriptors.
   std::size_t max_open_requests = 0;
-  std::size_t eviction_threshold = 0;     // from this number on a new client replaces an idle one
-  std::size_t max_buffered_bytes = 0;     // bytes of all clients: unread ones, and as many in flight
-  std::size_t large_statement_bytes = 0;  // bytes reserved for large statements
-  // Open requests of one connection; statements behind them wait until one of them ends.
+  std::size_t eviction_threshold = 0;  // number of clients from which a new one evicts idle ones
+  // Bytes of all clients. The limit applies to unread, in-flight and queued bytes separately.
+  std::size_t max_buffered_bytes = 0;
+  std::size_t large_statement_bytes = 0;  // memory budget for large statements
+  // Open requests of one connection. Further statements wait until one of them ends.
   std::size_t max_pipelined_requests = 1;
 };
 
 struct ListenerOptions {
   asio::ip::tcp::endpoint listen;
   ListenerLimits limits;
-  int accept_fd = -1;  // a listening socket that all processes of this router share; -1: none
-  // Called before each request is submitted: another process may have sent an update that it depends on.
+  int accept_fd = -1;  // listening socket shared by all processes of this router, or -1
+  // Called before each request is submitted, so that pending updates from another process, on which the
+  // request may depend, are applied first.
   std::function<void()> before_request = [] {};
 };
 
-// Connections: accepted, rejected for want of places, closed to make place, closed as idle, closed for
-// sending nothing complete in time. Messages that could not be read or used. Failures to accept.
+// Connections accepted, evicted, and closed by idle or read timeouts; connections or statements rejected
+// because a limit was reached; malformed messages and rejected statements; failures to accept.
 struct ListenerCounters {
   std::uint64_t accepted = 0, rejected = 0, evicted = 0, idle_timeouts = 0, read_timeouts = 0;
   std::uint64_t malformed = 0, accept_errors = 0;
@@ -58,31 +60,32 @@
 struct ClientConnection;
 struct PendingResponse;
 
-// Thread: the event loop's only. Outlives its connections, which hold no reference to it.
+// Used only on the event loop thread. It must outlive its connections: their asynchronous handlers use it.
 class ClientListener {
  public:
-  // Throws std::runtime_error if the address cannot be listened on.
+  // Throws std::runtime_error if listening on the address fails.
   ClientListener(asio::io_context& io, LoopClock& clock, Dispatcher& dispatcher,
                  const ServingState& serving_state, const ListenerOptions& options);
   ~ClientListener();
 
-  // The dispatcher's response to a request; ignored if its client has disconnected.
+  // Passes the dispatcher's response to the client. Ignored if the client has disconnected.
   void Deliver(RequestId id, const Response& response);
   void StartAccepting();
-  // Connections that wait in the socket are left to the process that shares it.
+  // Stops accepting. Connections in the backlog are left to the process that shares the socket.
   void PauseAccepting();
-  // Accepts the connections that wait in the socket, and then no more.
+  // Accepts the connections in the backlog, then closes the listening socket.
   void StopAccepting();
-  // New limits, while another process of this router runs or once it has ended.
+  // Replaces the limits when another process of this router starts sharing the resources or has ended.
   void SetLimits(const ListenerLimits& limits);
-  // Rejects all clients whose request has not arrived completely: none can be served any more.
+  // Sends an error to each client that has no pending response, and closes it: a request that arrives now
+  // could not be served any more.
   void RejectClientsWithoutRequests();
-  // Whether a client still waits for a response, for the end of one, or for at most `patience` to complete
-  // what it has begun to send.
-  bool HasUnfinishedClients(Micros patience) const;
+  // Whether a client still waits for a response or for the rest of one, is being closed, has unread input in
+  // its socket, or connected or began an incomplete message less than `grace` ago.
+  bool HasUnfinishedClients(Micros grace) const;
   void Stop();
-  // Closes a client that has been idle for `least_idle` at least; false: there is none.
-  bool EvictIdle(Micros least_idle = 0);
+  // Closes a client that has been idle for at least `min_idle`. Returns false if there is none.
+  bool EvictIdle(Micros min_idle = 0);
 
   std::size_t clients() const { return clients_.size(); }
   std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
@@ -90,65 +93,67 @@
 
  private:
   using ConnectionPtr = std::shared_ptr<ClientConnection>;
-  using ClassNames = std::unordered_map<std::string, int>;
+  using IndexByName = std::unordered_map<std::string, int>;
 
   void Accept();
   void AddConnection(asio::ip::tcp::socket socket);
   void Read(const ConnectionPtr& client);
-  // Sends the responses that are complete, processes the messages that have arrived, and reads on.
+  // Sends complete responses, processes the messages that have arrived, and continues reading.
   void ProcessInput(const ConnectionPtr& client);
   void ProcessMessages(const ConnectionPtr& client);
-  // Updates the sum of unread bytes; true: they are too many, and of this client more than one read.
-  bool CountUnread(const ConnectionPtr& client);
+  // Updates the total of unread bytes. Returns true if it exceeds the limit and more than one read's worth of
+  // it belongs to this client.
+  bool UpdateUnreadBytes(const ConnectionPtr& client);
   void ScheduleProcessing(const ConnectionPtr& client);
-  // Reserves memory for a large statement that has begun to arrive; false: the statement waits for it,
-  // unread.
+  // Reserves memory for a large statement that has begun to arrive. Returns false if the statement must wait
+  // for memory; the client is not read from until then.
   bool ReserveStatement(const ConnectionPtr& client);
   void OnReservationReleased();
-  // Why the client is disconnected now; nullopt: it is not.
+  // Returns which read timeout the client has exceeded, or nullopt.
   std::optional<ReadTimeout> FindReadTimeout(const ClientConnection& client) const;
   void OnStartup(const ConnectionPtr& client, std::string_view body);
   void OnMessage(const ConnectionPtr& client, char type, std::string_view body);
   void OnQuery(const ConnectionPtr& client, std::string_view text);
   void OnStatement(const ConnectionPtr& client, std::string_view text);
   void RejectStatement(const ConnectionPtr& client, StatementError error, std::optional<int> class_index);
-  // Rejects a valid statement for which there is no capacity; false: there is.
-  bool RejectForCapacity(const ConnectionPtr& client, int class_index, std::size_t statement_size);
+  // Rejects a valid statement if the router is out of service or a limit is reached. Returns whether it did.
+  bool RejectIfUnavailable(const ConnectionPtr& client, int class_index, std::size_t statement_size);
   void SubmitRequest(const ConnectionPtr& client, const pg::Statement& statement, int class_index,
                      std::string_view text);
-  // Whether the next message of this client may be processed now.
+  // Whether this client's next message may be processed now.
   bool MayProcessNext(const ClientConnection& client) const;
-  // Adds a complete response behind all earlier ones.
+  // Queues a complete response after all earlier ones.
   void Respond(ClientConnection& client, std::string_view bytes);
   PendingResponse& AddPendingResponse(ClientConnection& client);
   void RemoveFirstResponse(ClientConnection& client);
-  // Counts bytes of responses that wait for earlier ones.
-  void CountRetained(ClientConnection& client, std::size_t size);
-  // Moves the complete responses that have no open request before them to the output.
+  // Adds to the byte counts of responses queued behind earlier ones.
+  void AddQueuedBytes(ClientConnection& client, std::size_t size);
+  // Moves the complete responses that precede the first open request to the output buffer.
   void FlushResponses(const ConnectionPtr& client);
-  // The client ends its session.
+  // Handles Terminate: the client ends its session.
   void OnTerminate(const ConnectionPtr& client);
-  // The open request of this client whose write the one with that session key has to see.
+  // Returns the client's last open write to the session `key`, which a new request of that session must see.
   static std::optional<RequestId> PrecedingWrite(const ClientConnection& client, std::uint64_t key);
-  // Whether the client has ended its sending or reset the connection, whatever is still unread before that.
+  // Whether the client has shut down its sending direction or reset the connection, even if unread input
+  // precedes that.
   static bool HasDisconnected(ClientConnection& client);
-  // The text of a rejection's detail: when the client may retry, at most `wanted`; empty where the settings
-  // forbid it.
-  std::string RetryAfterText(Micros wanted) const;
-  // Why the statement of that class is not accepted; nullopt: it is.
+  // Returns the detail text of a rejection: after how many milliseconds the client may retry, at most
+  // `suggested`. Empty if the settings forbid it.
+  std::string RetryAfterText(Micros suggested) const;
+  // Returns why a statement of this class is not accepted, or nullopt if it is.
   std::optional<StatementError> FindStatementError(const pg::Statement& statement, int class_index) const;
-  // The request is over; its response keeps its place in the order.
+  // Removes a finished request from the open ones. Its response keeps its place in the queue.
   void FinishRequest(ClientConnection& client, PendingResponse& pending);
-  // Forwards what has arrived of a large value, if that is the next response. True: the response is complete
-  // and has left the order.
+  // Forwards the available bytes of a large value if it is the next response. Returns true once the response
+  // is complete and has been removed from the queue.
   bool ForwardStream(const ConnectionPtr& client);
   void Write(const ConnectionPtr& client);
-  // Ends a connection whose client broke the protocol.
+  // Closes a connection whose client violated the protocol.
   void OnProtocolError(const ConnectionPtr& client, pg::ProtocolError error);
-  // Sends an error behind the responses that are pending, then closes the connection gracefully.
+  // Sends an error after the pending responses, then closes the connection gracefully.
   void CloseWithError(const ConnectionPtr& client, std::string_view code, std::string_view message,
                       std::string_view detail = {});
-  // Whether nothing is in flight for it and nothing that it sent is unread.
+  // Whether the client has no pending response and no unread input, and is not being closed.
   bool IsIdle(const ClientConnection& client) const;
   void FindEvictionCandidates();
   void ShutDownWrite(const ConnectionPtr& client);
@@ -156,7 +161,7 @@
   void CheckTimeouts();
   void CheckTimeouts(const ConnectionPtr& client, Micros idle_timeout);
   void ScheduleTimeoutCheck();
-  // Closes connections whose clients have disconnected while nothing is read from them.
+  // Closes connections that are not being read from and whose clients have disconnected.
   void CheckDisconnects();
 
   asio::io_context& io_;
@@ -171,9 +176,9 @@
   std::unordered_set<ConnectionPtr> clients_;
   std::unordered_map<RequestId, ConnectionPtr> clients_by_request_;
   std::unordered_set<std::string> open_request_ids_;
-  ClassNames classes_, tenants_;
+  IndexByName classes_, tenants_;
   bool accepting_ = false;
-  // Idle clients in the order of their eviction, as the last scan found them.
+  // Idle clients found by the last scan, in eviction order.
   struct Candidate {
     std::weak_ptr<ClientConnection> client;
     Micros last_active = 0;
@@ -183,9 +188,9 @@
   StatementBudget statement_budget_;
   std::deque<std::weak_ptr<ClientConnection>> awaiting_reservation_;
   bool reservation_check_posted_ = false;
-  // Bytes that are not read as messages yet; of statements in flight; of responses that wait for earlier
-  // ones.
-  std::size_t unread_bytes_ = 0, statement_bytes_ = 0, retained_bytes_ = 0;
+  // Totals over all clients: bytes not yet parsed as messages, bytes of statements in flight, and bytes of
+  // responses queued behind earlier ones.
+  std::size_t unread_bytes_ = 0, statement_bytes_ = 0, queued_bytes_ = 0;
 };
 
 }  // namespace tulipyoke::net
--- a/src/listener/client_messages.cpp
+++ b/src/listener/client_messages.cpp
@@ -1,4 +1,4 @@
-// What each message of a client asks for, and how statements become requests.
+// Handles client messages and turns statements into requests.
 #include <algorithm>
 #include <functional>
 #include <utility>
@@ -14,10 +14,11 @@
 namespace {
 
 constexpr Micros kMicrosPerMilli = 1'000;
-// When a client that came to a router out of service may retry: another router accepts it at once.
+// Retry-after for clients of a router that is out of service. It is short, because another router accepts
+// them at once.
 constexpr Micros kOutOfServiceRetryAfter = 20'000;
-// Rejected statements in a row after which the connection is closed.
-constexpr int kMaxRejectedStatements = 8;
+// The connection is closed on this many rejected statements in a row.
+constexpr int kMaxConsecutiveRejections = 8;
 constexpr std::string_view kSimpleQueriesOnly = "only simple queries are served";
 
 std::uint64_t SessionKey(std::string_view text) {
@@ -49,8 +50,8 @@
     case pg::StartupKind::kSession:
       break;
   }
-  client->started = true;
-  client->login_started = clock_.Now();
+  client->startup_complete = true;
+  client->login_step_started = clock_.Now();
   client->reader.EndStartup();
   pg::AppendAuthenticationOk(client->output);
   pg::AppendParameterStatus(client->output, "server_version", "15.0");
@@ -73,19 +74,19 @@
       return OnTerminate(client);
     case 'S':  // Sync
       client->skipping_to_sync = false;
-      return Respond(*client, ReadyMessage());
+      return Respond(*client, ReadyForQueryMessage());
     case 'P':
     case 'B':
     case 'D':
     case 'E':
     case 'C':
     case 'H':
-      // One error, then nothing until the client's Sync, as the protocol wants it.
+      // The protocol requires one error, then no response until the client's Sync.
       if (!client->skipping_to_sync) Respond(*client, ErrorMessage("0A000", kSimpleQueriesOnly));
       client->skipping_to_sync = true;
       return;
     case 'F':
-      return Respond(*client, ErrorMessage("0A000", kSimpleQueriesOnly) + ReadyMessage());
+      return Respond(*client, ErrorMessage("0A000", kSimpleQueriesOnly) + ReadyForQueryMessage());
     default:
       return OnProtocolError(client, pg::ProtocolError::kUnknownRequestType);
   }
@@ -95,13 +96,13 @@
   switch (pg::ParseSessionCommand(text)) {
     case pg::SessionCommand::kEmpty:
       if (!serving_state_.router_accepts_clients()) return CloseWithError(client, "57P03", "out of service");
-      return Respond(*client, EmptyMessage() + ReadyMessage());
+      return Respond(*client, EmptyQueryMessage() + ReadyForQueryMessage());
     case pg::SessionCommand::kSet:
-      return Respond(*client, CompleteMessage("SET") + ReadyMessage());
+      return Respond(*client, CommandCompleteMessage("SET") + ReadyForQueryMessage());
     case pg::SessionCommand::kReset:
-      return Respond(*client, CompleteMessage("RESET") + ReadyMessage());
+      return Respond(*client, CommandCompleteMessage("RESET") + ReadyForQueryMessage());
     case pg::SessionCommand::kDiscard:
-      return Respond(*client, CompleteMessage("DISCARD ALL") + ReadyMessage());
+      return Respond(*client, CommandCompleteMessage("DISCARD ALL") + ReadyForQueryMessage());
     case pg::SessionCommand::kNone:
       return OnStatement(client, text);
   }
@@ -116,9 +117,9 @@
   if (const std::optional<StatementError> error = FindStatementError(*statement, class_index)) {
     return RejectStatement(client, *error, class_index);
   }
-  client->rejected_statements = 0;
-  if (RejectForCapacity(client, class_index, text.size())) return;
-  // It may have arrived long ago and waited; its client may have disconnected since.
+  client->consecutive_rejections = 0;
+  if (RejectIfUnavailable(client, class_index, text.size())) return;
+  // The statement may have waited in the buffer, and its client may have disconnected meanwhile.
   if (HasDisconnected(*client)) return Close(client);
   SubmitRequest(client, *statement, class_index, text);
 }
@@ -127,15 +128,15 @@
                                      std::optional<int> class_index) {
   ++counters_.malformed;
   if (class_index) dispatcher_.CountLocalResponse(*class_index, FailedResponse{});
-  ++client->rejected_statements;
-  if (client->rejected_statements >= kMaxRejectedStatements) {
+  ++client->consecutive_rejections;
+  if (client->consecutive_rejections >= kMaxConsecutiveRejections) {
     return CloseWithError(client, "08P01", ToText(error));
   }
-  Respond(*client, ErrorMessage("42601", ToText(error)) + ReadyMessage());
+  Respond(*client, ErrorMessage("42601", ToText(error)) + ReadyForQueryMessage());
 }
 
-bool ClientListener::RejectForCapacity(const ConnectionPtr& client, int class_index,
-                                       std::size_t statement_size) {
+bool ClientListener::RejectIfUnavailable(const ConnectionPtr& client, int class_index,
+                                         std::size_t statement_size) {
   if (client->over_limit) {
     dispatcher_.CountLocalResponse(class_index, RejectedResponse{});
     CloseWithError(client, "53300", kTooManyConnections, RetryAfterText(kNoDeadline));
@@ -147,16 +148,16 @@
                    RetryAfterText(kOutOfServiceRetryAfter));
     return true;
   }
-  // If requests take all that clients may hold, nobody can connect, neither to this process nor to the one
-  // that takes over.
+  // If open requests held every connection and all memory that clients may use, no client could connect,
+  // neither to this process nor to the one that takes over.
   const bool too_many = clients_by_request_.size() >= options_.limits.max_open_requests;
   const bool too_large = !client->statement_reservation &&
                          statement_bytes_ + statement_size > options_.limits.max_buffered_bytes;
   if (!too_many && !too_large) return false;
   ++counters_.rejected;
   dispatcher_.CountLocalResponse(class_index, RejectedResponse{});
-  Respond(*client,
-          ErrorMessage("53300", "too much is under way", RetryAfterText(kNoDeadline)) + ReadyMessage());
+  Respond(*client, ErrorMessage("53300", "too much is under way", RetryAfterText(kNoDeadline)) +
+                       ReadyForQueryMessage());
   return true;
 }
 
@@ -172,7 +173,7 @@
   request.group = statement.cluster;
   if (is_session_read || is_write) request.key = SessionKey(statement.key);
   request.wait = statement.timeout_ms * kMicrosPerMilli;
-  request.arrived = client->message_arrived;
+  request.arrived = client->message_arrived_at;
   request.preceding_write = PrecedingWrite(*client, request.key);
   if (is_session_read) request.after_unix_ms = statement.read_after_ms;
   request.repeat = statement.is_retry;
@@ -185,7 +186,7 @@
     response.statement_bytes = text.size();
     statement_bytes_ += text.size();
   }
-  // From here on the payload owns the text.
+  // The payload owns the text from here on.
   request.payload = std::make_shared<const RequestPayload>(
       RequestPayload{client->reader.TakeBody(text), statement.timeout_offset, statement.timeout_size,
                      std::move(client->statement_reservation)});
@@ -197,23 +198,24 @@
 
 void ClientListener::OnTerminate(const ConnectionPtr& client) {
   if (!client->has_pending_responses()) return Close(client);
-  // It still gets the responses to what it sent before.
+  // The responses to earlier messages are still sent.
   AddPendingResponse(*client).closes_connection = true;
   client->input_ended = true;
 }
 
-std::string ClientListener::RetryAfterText(Micros wanted) const {
+std::string ClientListener::RetryAfterText(Micros suggested) const {
   const Settings& settings = dispatcher_.settings();
-  const Micros retry_after = std::min(settings.max_retry_after, wanted);
+  const Micros retry_after = std::min(settings.max_retry_after, suggested);
   if (!settings.retry_after || retry_after <= 0) return "";
   return std::to_string(retry_after / kMicrosPerMilli);
 }
 
 std::optional<StatementError> ClientListener::FindStatementError(const pg::Statement& statement,
                                                                  int class_index) const {
-  const ClassSettings& of_class = dispatcher_.settings().classes[static_cast<std::size_t>(class_index)];
-  if (statement.is_write != (of_class.freshness == Freshness::kWrite)) return StatementError::kClassMismatch;
-  if (of_class.idempotency == Idempotency::kWithKey && statement.idempotency_key.empty()) {
+  const ClassSettings& class_settings = dispatcher_.settings().classes[static_cast<std::size_t>(class_index)];
+  if (statement.is_write != (class_settings.freshness == Freshness::kWrite))
+    return StatementError::kClassMismatch;
+  if (class_settings.idempotency == Idempotency::kWithKey && statement.idempotency_key.empty()) {
     return StatementError::kNoIdempotencyKey;
   }
   if (open_request_ids_.contains(std::string(statement.request_id))) {
--- a/src/listener/client_responses.cpp
+++ b/src/listener/client_responses.cpp
@@ -1,4 +1,4 @@
-// The responses of a connection, in the order of its statements.
+// Queues and sends a connection's responses in the order of its statements.
 #include <utility>
 #include <variant>
 
@@ -18,23 +18,23 @@
   }
   if (client.pending_responses.back().is_open()) AddPendingResponse(client);
   client.pending_responses.back().bytes += bytes;
-  CountRetained(client, bytes.size());
+  AddQueuedBytes(client, bytes.size());
 }
 
 PendingResponse& ClientListener::AddPendingResponse(ClientConnection& client) {
-  CountRetained(client, sizeof(PendingResponse));
+  AddQueuedBytes(client, sizeof(PendingResponse));
   return client.pending_responses.emplace_back();
 }
 
-void ClientListener::CountRetained(ClientConnection& client, std::size_t size) {
-  client.retained_bytes += size;
-  retained_bytes_ += size;
+void ClientListener::AddQueuedBytes(ClientConnection& client, std::size_t size) {
+  client.queued_bytes += size;
+  queued_bytes_ += size;
 }
 
 void ClientListener::RemoveFirstResponse(ClientConnection& client) {
   const std::size_t size = sizeof(PendingResponse) + client.pending_responses.front().bytes.size();
-  client.retained_bytes -= size;
-  retained_bytes_ -= size;
+  client.queued_bytes -= size;
+  queued_bytes_ -= size;
   client.pending_responses.pop_front();
 }
 
@@ -59,7 +59,7 @@
   const auto found = clients_by_request_.find(id);
   if (found == clients_by_request_.end()) return;
   const ConnectionPtr client = found->second;
-  PendingResponse& pending = *client->Find(id);
+  PendingResponse& pending = *client->FindPendingResponse(id);
   client->last_active = clock_.Now();
   if (const auto* streaming = std::get_if<StreamingResponse>(&response)) {
     pending.stream = streaming->stream;
@@ -83,8 +83,8 @@
   } else {
     pending.bytes = ErrorMessage("58000", "failed: the statement may have taken effect");
   }
-  pending.bytes += ReadyMessage();
-  CountRetained(*client, pending.bytes.size());
+  pending.bytes += ReadyForQueryMessage();
+  AddQueuedBytes(*client, pending.bytes.size());
   ProcessInput(client);
 }
 
@@ -113,7 +113,7 @@
   const bool complete = stream->state() == ResponseStream::State::kComplete;
   dispatcher_.StreamDelivered(request);
   if (!complete) {
-    // Part of the value is sent: only closing the connection tells the client that the rest will not come.
+    // Part of the value has been sent, so only closing the connection tells the client that it is incomplete.
     Close(client);
     return false;
   }
@@ -126,7 +126,7 @@
   clients_by_request_.erase(std::exchange(pending.request, 0));
   --client.open_requests;
   ++client.finished_requests;
-  client.message_since = clock_.Now();
+  client.message_started_at = clock_.Now();
   open_request_ids_.erase(std::exchange(pending.client_request_id, {}));
   statement_bytes_ -= std::exchange(pending.statement_bytes, 0);
 }
--- a/src/listener/read_timeout.hpp
+++ b/src/listener/read_timeout.hpp
@@ -1,4 +1,4 @@
-// Why a client that sends too slowly is disconnected.
+// Timeouts for reading a message from a client.
 #ifndef TULIPYOKE_SRC_LISTENER_READ_TIMEOUT_HPP_
 #define TULIPYOKE_SRC_LISTENER_READ_TIMEOUT_HPP_
 
@@ -7,13 +7,13 @@
 namespace tulipyoke::net {
 
 enum class ReadTimeout {
-  kNoCapacity,         // there was no memory for its large statement in time
+  kNoMemory,           // no memory became available in time for a large statement
   kNoCompleteMessage,  // no complete message arrived in time
 };
 
-// The text that the client is sent.
+// Returns the error text sent to the client.
 constexpr std::string_view ToText(ReadTimeout timeout) {
-  return timeout == ReadTimeout::kNoCapacity ? "no room for so much" : "no whole message came in time";
+  return timeout == ReadTimeout::kNoMemory ? "no room for so much" : "no whole message came in time";
 }
 
 }  // namespace tulipyoke::net
--- a/src/listener/response_messages.hpp
+++ b/src/listener/response_messages.hpp
@@ -1,4 +1,4 @@
-// Messages that end a response, as bytes.
+// Encodes short server messages as bytes.
 #ifndef TULIPYOKE_SRC_LISTENER_RESPONSE_MESSAGES_HPP_
 #define TULIPYOKE_SRC_LISTENER_RESPONSE_MESSAGES_HPP_
 
@@ -9,22 +9,22 @@
 
 namespace tulipyoke::net {
 
-// Sent to a client for which there is no place.
+// Sent to a client beyond the connection limit.
 inline constexpr std::string_view kTooManyConnections = "too many connections";
 
-inline std::string ReadyMessage() {
+inline std::string ReadyForQueryMessage() {
   std::string message;
   pg::AppendReadyForQuery(message);
   return message;
 }
 
-inline std::string EmptyMessage() {
+inline std::string EmptyQueryMessage() {
   std::string message;
   pg::AppendMessage(message, 'I', {});
   return message;
 }
 
-inline std::string CompleteMessage(std::string_view tag) {
+inline std::string CommandCompleteMessage(std::string_view tag) {
   std::string message;
   pg::AppendMessage(message, 'C', std::string(tag) + '\0');
   return message;
--- a/src/listener/statement_error.hpp
+++ b/src/listener/statement_error.hpp
@@ -1,4 +1,4 @@
-// Why a client's statement is not accepted as a request.
+// Reasons for not accepting a client's statement as a request.
 #ifndef TULIPYOKE_SRC_LISTENER_STATEMENT_ERROR_HPP_
 #define TULIPYOKE_SRC_LISTENER_STATEMENT_ERROR_HPP_
 
@@ -10,11 +10,11 @@
   kUnsupportedForm,
   kUnknownClass,
   kClassMismatch,         // a write in a class of reads, or a read in a class of writes
-  kNoIdempotencyKey,      // which its class requires
-  kRequestIdAlreadyOpen,  // by another request, which goes on untouched
+  kNoIdempotencyKey,      // required by the class
+  kRequestIdAlreadyOpen,  // another open request has the id; it is not affected
 };
 
-// The text that the client is sent.
+// Returns the error text sent to the client.
 constexpr std::string_view ToText(StatementError error) {
   switch (error) {
     case StatementError::kUnsupportedForm:
--- a/tests/listener/client_limits_test.cpp
+++ b/tests/listener/client_limits_test.cpp
@@ -1,4 +1,4 @@
-// Limits of clients: which connections are evicted for others, and which requests are rejected.
+// Client limits: which connections are evicted for new ones, and which requests are rejected.
 #include <gtest/gtest.h>
 
 #include <asio.hpp>
@@ -18,7 +18,7 @@
 namespace tulipyoke::net {
 namespace {
 
-// With more clients than descriptors, idle ones are closed and busy ones served.
+// With more clients than descriptors allow, idle clients are closed and active ones are served.
 TEST(ClientLimits, EvictsIdleClientsForNewOnes) {
   ScriptedServer server([](const std::string&) { return Row("v"); });
   RunningServer router({server.port()}, 64);
@@ -30,7 +30,7 @@
   EXPECT_EQ(idle[0].Next().first, '\0');
 }
 
-// New clients do not evict each other before they have sent anything.
+// A new client does not evict another new client that has not sent anything yet.
 TEST(ClientLimits, DoesNotEvictANewClientBeforeItsFirstRequest) {
   ScriptedServer server([](const std::string&) { return Row("v"); });
   RunningServer router({server.port()}, 64);
@@ -41,86 +41,86 @@
     EXPECT_EQ(idle.back().UntilReady()[0].first, 'T');
   }
   Peer first = router.Connect();
-  Peer second = router.Session();  // both are in by the time that the second is answered
-  std::string hello;
-  pg::AppendStartup(hello, "api", "ledger");
-  first.Write(hello + Ask("first"));
+  Peer second = router.Session();  // once it is ready, both have been accepted
+  std::string startup;
+  pg::AppendStartup(startup, "api", "ledger");
+  first.Write(startup + Ask("first"));
   EXPECT_EQ(first.UntilReady().back().first, 'Z');
   EXPECT_EQ(first.UntilReady()[0].first, 'T');
 }
 
-// A connection that is used again and again is worth more than one that was used once.
-TEST(ClientLimits, EvictsSingleRequestClientsBeforePooledOnes) {
+// Connections that served a single request are evicted before those that are reused.
+TEST(ClientLimits, EvictsSingleRequestClientsBeforeReusedConnections) {
   ScriptedServer server([](const std::string&) { return Row("v"); });
   RunningServer router({server.port()}, 64);
-  Peer pooled = router.Session();
+  Peer reused = router.Session();
   for (const char* id : {"a", "b"}) {
-    pooled.Write(Ask(id));
-    EXPECT_EQ(pooled.UntilReady()[0].first, 'T');
+    reused.Write(Ask(id));
+    EXPECT_EQ(reused.UntilReady()[0].first, 'T');
   }
-  std::vector<Peer> once;
+  std::vector<Peer> single_request;
   for (int i = 0; i < 16; ++i) {
-    once.push_back(router.Session());
-    once.back().Write(Ask(std::to_string(i)));
-    EXPECT_EQ(once.back().UntilReady()[0].first, 'T');
+    single_request.push_back(router.Session());
+    single_request.back().Write(Ask(std::to_string(i)));
+    EXPECT_EQ(single_request.back().UntilReady()[0].first, 'T');
   }
-  std::this_thread::sleep_for(std::chrono::milliseconds(250));  // then they have surely been idle
+  std::this_thread::sleep_for(std::chrono::milliseconds(250));  // longer than kMinIdleForEviction
   Peer next = router.Session();
-  EXPECT_EQ(once[0].Next().first, '\0');
-  pooled.Write(Ask("c"));
-  EXPECT_EQ(pooled.UntilReady()[0].first, 'T');
+  EXPECT_EQ(single_request[0].Next().first, '\0');
+  reused.Write(Ask("c"));
+  EXPECT_EQ(reused.UntilReady()[0].first, 'T');
 }
 
-// Open requests do not take up all places of clients.
+// Open requests must not use up all client connections.
 TEST(ClientLimits, RejectsRequestsBeyondTheOpenLimit) {
-  std::mutex gate;
-  gate.lock();
+  std::mutex response_mutex;
+  response_mutex.lock();
   ScriptedServer server([&](const std::string&) {
-    const std::lock_guard wait(gate);
+    const std::lock_guard guard(response_mutex);
     return Row("v");
   });
   RunningServer router({server.port()}, 64);
-  std::vector<Peer> asking;
+  std::vector<Peer> requesting;
   for (int i = 0; i < 17; ++i) {
-    asking.push_back(router.Session());
-    asking.back().Write(Ask(std::to_string(i)));
+    requesting.push_back(router.Session());
+    requesting.back().Write(Ask(std::to_string(i)));
   }
-  EXPECT_EQ(CodeOf(asking.back().UntilReady()), "53300");
-  gate.unlock();
-  EXPECT_EQ(asking[0].UntilReady()[0].first, 'T');
+  EXPECT_EQ(CodeOf(requesting.back().UntilReady()), "53300");
+  response_mutex.unlock();
+  EXPECT_EQ(requesting[0].UntilReady()[0].first, 'T');
 }
 
-// Clients that open a connection for each request do not use up all places.
-TEST(ClientListener, EvictsIdleClientsBeforeAllPlacesAreTaken) {
+// Clients that open a connection per request must not use up all connections.
+TEST(ClientListener, EvictsIdleClientsAtTheEvictionThreshold) {
   asio::io_context io;
   LoopClock clock;
   Dispatcher dispatcher({Settings{}, 1, {}, {}, 1'000'000});
-  const ServingState service;
-  ClientListener listener(io, clock, dispatcher, service, {Loopback(0), {100, 100, 4, 1 << 20}});
+  const ServingState serving_state;
+  ClientListener listener(io, clock, dispatcher, serving_state, {Loopback(0), {100, 100, 4, 1 << 20}});
   listener.StartAccepting();
   std::vector<tcp::socket> clients;
-  for (const unsigned wanted : {4u, 8u}) {
-    while (clients.size() < wanted) clients.emplace_back(io).connect(Loopback(listener.port()));
-    while (listener.counters().accepted < wanted) {
+  for (const unsigned client_count : {4u, 8u}) {
+    while (clients.size() < client_count) clients.emplace_back(io).connect(Loopback(listener.port()));
+    while (listener.counters().accepted < client_count) {
       clock.BeginIteration();
       io.run_one();
     }
-    if (wanted == 8) break;
+    if (client_count == 8) break;
     EXPECT_EQ(listener.counters().evicted, 0u);
-    std::this_thread::sleep_for(std::chrono::milliseconds(250));  // then they have surely been idle
+    std::this_thread::sleep_for(std::chrono::milliseconds(250));  // longer than kMinIdleForEviction
   }
   EXPECT_EQ(listener.clients(), 4u);
   EXPECT_EQ(listener.counters().evicted, 4u);
   listener.Stop();
 }
 
-// In a burst no new client is rejected while idle ones hold the places. The clock stands still here.
+// In a burst no new client is rejected while idle clients can be evicted. The clock does not advance here.
 TEST(ClientListener, EvictsOneIdleClientPerNewClientInABurst) {
   asio::io_context io;
   LoopClock clock;
   Dispatcher dispatcher({Settings{}, 1, {}, {}, 1'000'000});
-  const ServingState service;
-  ClientListener listener(io, clock, dispatcher, service, {Loopback(0), {4, 4, 4, 1 << 20}});
+  const ServingState serving_state;
+  ClientListener listener(io, clock, dispatcher, serving_state, {Loopback(0), {4, 4, 4, 1 << 20}});
   listener.StartAccepting();
   std::vector<tcp::socket> clients;
   for (int i = 0; i < 40; ++i) clients.emplace_back(io).connect(Loopback(listener.port()));
@@ -130,9 +130,10 @@
   listener.Stop();
 }
 
-// The listener's own rejections carry the same retry-after as those of the decision module.
-TEST(ClientListener, SendsRetryAfterAsTheSettingsAllow) {
-  for (const bool told : {true, false}) {
+// The listener's own rejections carry a retry-after only if the settings allow it, as those of the decision
+// module do.
+TEST(ClientListener, SendsRetryAfterOnlyIfSettingsAllow) {
+  for (const bool sends_retry_after : {true, false}) {
     for (const bool out_of_service : {true, false}) {
       asio::io_context io;
       LoopClock clock;
@@ -140,28 +141,28 @@
       settings.classes.resize(1);
       settings.classes[0].name = "any";
       settings.classes[0].latency_objective = settings.classes[0].deadline = 100'000;
-      settings.retry_after = told;
+      settings.retry_after = sends_retry_after;
       settings.max_retry_after = 500'000;
       Dispatcher dispatcher({settings, 1, {}, {}, 1'000'000});
-      ServingState service;
-      service.Start();
-      if (out_of_service) service.TakeOutOfService(0);  // long ago
-      ClientListener listener(io, clock, dispatcher, service, {Loopback(0), {100, 0, 100, 1 << 20}});
+      ServingState serving_state;
+      serving_state.Start();
+      if (out_of_service) serving_state.TakeOutOfService(0);  // more than kOutOfServiceGrace ago
+      ClientListener listener(io, clock, dispatcher, serving_state, {Loopback(0), {100, 0, 100, 1 << 20}});
       listener.StartAccepting();
       tcp::socket socket(io);
       socket.connect(Loopback(listener.port()));
       Peer client(std::move(socket), false);
-      std::string hello;
-      pg::AppendStartup(hello, "api", "ledger");
-      client.Write(hello + Ask("1"));
+      std::string startup;
+      pg::AppendStartup(startup, "api", "ledger");
+      client.Write(startup + Ask("1"));
       while (dispatcher.StatisticsAt(clock.Now()).classes[0].dropped == 0) io.run_one();
       client.UntilReady();
       const std::string error = client.UntilReady()[0].second;
       EXPECT_EQ(pg::ParseError(error)->code, out_of_service ? "57P03" : "53300");
-      const std::size_t at = error.find(std::string("\0D", 2));
-      EXPECT_EQ(at != std::string::npos, told);
-      const std::string told_ms = told ? error.c_str() + at + 2 : "";
-      EXPECT_EQ(told_ms, !told ? "" : out_of_service ? "20" : "500");
+      const std::size_t detail_offset = error.find(std::string("\0D", 2));
+      EXPECT_EQ(detail_offset != std::string::npos, sends_retry_after);
+      const std::string retry_after_ms = sends_retry_after ? error.c_str() + detail_offset + 2 : "";
+      EXPECT_EQ(retry_after_ms, !sends_retry_after ? "" : out_of_service ? "20" : "500");
       listener.Stop();
     }
   }
--- a/tests/listener/client_session_test.cpp
+++ b/tests/listener/client_session_test.cpp
@@ -1,4 +1,4 @@
-// Sessions of clients: requests, answers, and malformed input.
+// Client sessions: requests, responses, and malformed input.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -25,13 +25,13 @@
   Peer client = router.Session();
   client.Write(Ask("1") + Ask("2") + Query(""));
   for (const char* id : {"1", "2"}) {
-    const Messages m = client.UntilReady();
-    ASSERT_EQ(m.size(), 4u);
-    EXPECT_EQ(m[0], (std::pair<char, std::string>{'T', kShape}));
-    EXPECT_EQ(*pg::ParseSingleColumn(m[1].second), std::string("for id=") + id);
+    const Messages messages = client.UntilReady();
+    ASSERT_EQ(messages.size(), 4u);
+    EXPECT_EQ(messages[0], (std::pair<char, std::string>{'T', kShape}));
+    EXPECT_EQ(*pg::ParseSingleColumn(messages[1].second), std::string("for id=") + id);
   }
   EXPECT_EQ(client.UntilReady()[0].first, 'I');
-  // The statement is forwarded as it came, except for the stated deadline.
+  // The statement is forwarded unchanged, except for its deadline.
   const std::vector<std::string> queries = server.queries();
   ASSERT_EQ(queries.size(), 2u);
   EXPECT_EQ(queries[0].substr(0, queries[0].find(",d=") + 1),
@@ -39,24 +39,24 @@
   EXPECT_EQ(queries[0].substr(queries[0].find(",cluster")), ",cluster=0 */");
 }
 
-// Malformed input is answered by an error and affects no other client.
+// Malformed input gets an error and does not affect other clients.
 TEST(ClientSession, MalformedInputFailsOnlyThatClient) {
   ScriptedServer server([](const std::string&) { return Row("v"); });
   RunningServer router({server.port()});
   Peer good = router.Session();
-  Peer asks = router.Session();
-  asks.Write(Query("SELECT 1") + Query("SELECT 1 /* id=1,c=none,d=5 */") + Query("SET x TO 1"));
-  EXPECT_EQ(CodeOf(asks.UntilReady()), "42601");
-  EXPECT_EQ(CodeOf(asks.UntilReady()), "42601");
-  EXPECT_EQ(asks.UntilReady()[0].first, 'C');
+  Peer invalid = router.Session();
+  invalid.Write(Query("SELECT 1") + Query("SELECT 1 /* id=1,c=none,d=5 */") + Query("SET x TO 1"));
+  EXPECT_EQ(CodeOf(invalid.UntilReady()), "42601");
+  EXPECT_EQ(CodeOf(invalid.UntilReady()), "42601");
+  EXPECT_EQ(invalid.UntilReady()[0].first, 'C');
   std::string extended;
   for (const char type : {'P', 'B', 'E', 'S'}) pg::AppendMessage(extended, type, "");
-  asks.Write(extended);
-  const Messages refused = asks.UntilReady();
-  EXPECT_EQ(refused.size(), 2u);
-  EXPECT_EQ(CodeOf(refused), "0A000");
-  asks.Write(std::string("Q\x7f\xff\xff\xff", 5));
-  EXPECT_EQ(CodeOf(asks.UntilReady()), "08P01");
+  invalid.Write(extended);
+  const Messages errors = invalid.UntilReady();
+  EXPECT_EQ(errors.size(), 2u);
+  EXPECT_EQ(CodeOf(errors), "0A000");
+  invalid.Write(std::string("Q\x7f\xff\xff\xff", 5));
+  EXPECT_EQ(CodeOf(invalid.UntilReady()), "08P01");
   for (unsigned seed = 0; seed < 30; ++seed) {
     std::mt19937 random(seed);
     std::string bytes(200, '\0');
@@ -67,73 +67,74 @@
   }
   Peer encrypted = router.Connect();
   encrypted.Write(std::string("\0\0\0\10\4\xd2\x16\x2f", 8));
-  char no = 0;
-  EXPECT_EQ(::recv(encrypted.socket().native_handle(), &no, 1, 0), 1);
-  EXPECT_EQ(no, 'N');
+  char encryption_reply = 0;
+  EXPECT_EQ(::recv(encrypted.socket().native_handle(), &encryption_reply, 1, 0), 1);
+  EXPECT_EQ(encryption_reply, 'N');
   good.Write(Ask("7"));
   EXPECT_EQ(good.UntilReady()[0].first, 'T');
 }
 
-// A client that sends nothing, or an incomplete message, does not keep its place for good.
+// A client that sends nothing, or only an incomplete message, is disconnected.
 TEST(ClientSession, IncompleteMessagesTimeOutWithAnError) {
   ScriptedServer server([](const std::string&) { return Row("v"); });
   RunningServer router({server.port()});
   Peer silent = router.Connect();
-  Peer half = router.Session();
-  half.Write(Ask("1").substr(0, 40));
-  Peer mute = router.Session();
-  Peer usual = router.Session();
-  usual.Write(Ask("2"));
-  EXPECT_EQ(usual.UntilReady()[0].first, 'T');
-  for (Peer* peer : {&silent, &half, &mute}) {
+  Peer incomplete = router.Session();
+  incomplete.Write(Ask("1").substr(0, 40));
+  Peer no_request = router.Session();
+  Peer active = router.Session();
+  active.Write(Ask("2"));
+  EXPECT_EQ(active.UntilReady()[0].first, 'T');
+  for (Peer* peer : {&silent, &incomplete, &no_request}) {
     EXPECT_EQ(CodeOf(peer->UntilReady()), "08P01");
     EXPECT_EQ(peer->Next().first, '\0');
   }
-  usual.Write(Ask("3"));
-  EXPECT_EQ(usual.UntilReady()[0].first, 'T');
+  active.Write(Ask("3"));
+  EXPECT_EQ(active.UntilReady()[0].first, 'T');
 }
 
-// An id that another client's open request has is rejected; a client that goes on sending invalid statements
-// is disconnected.
-TEST(ClientSession, RejectsAnIdInUseAndDisconnectsAfterRepeatedErrors) {
-  std::mutex gate;
-  gate.lock();
+// A request whose id belongs to another client's open request is rejected. A client that keeps sending
+// invalid statements is disconnected.
+TEST(ClientSession, RejectsADuplicateIdAndDisconnectsAfterRepeatedErrors) {
+  std::mutex response_mutex;
+  response_mutex.lock();
   ScriptedServer server([&](const std::string&) {
-    const std::lock_guard wait(gate);
+    const std::lock_guard guard(response_mutex);
     return Row("v");
   });
   RunningServer router({server.port()});
   Peer owner = router.Session();
   owner.Write(Ask("1"));
   while (server.queries().empty()) std::this_thread::yield();
-  Peer thief = router.Session();
-  thief.Write(Ask("1"));
-  EXPECT_EQ(CodeOf(thief.UntilReady()), "42601");
-  gate.unlock();
+  Peer duplicate = router.Session();
+  duplicate.Write(Ask("1"));
+  EXPECT_EQ(CodeOf(duplicate.UntilReady()), "42601");
+  response_mutex.unlock();
   EXPECT_EQ(owner.UntilReady()[0].first, 'T');
-  owner.Write(Ask("1"));  // over by then: its own again
+  owner.Write(Ask("1"));  // the first request has finished, so its id is free again
   EXPECT_EQ(owner.UntilReady()[0].first, 'T');
-  std::string nonsense;
-  for (int i = 0; i < 300; ++i) nonsense += Query("SELECT 1");
-  thief.Write(nonsense);
-  int refused = 0;
-  for (auto message = thief.Next(); message.first != '\0'; message = thief.Next())
-    refused += message.first == 'E';
-  EXPECT_EQ(refused, 7);  // and the one before
+  std::string invalid_statements;
+  for (int i = 0; i < 300; ++i) invalid_statements += Query("SELECT 1");
+  duplicate.Write(invalid_statements);
+  int errors = 0;
+  for (auto message = duplicate.Next(); message.first != '\0'; message = duplicate.Next())
+    errors += message.first == 'E';
+  EXPECT_EQ(errors, 7);  // the duplicate id was the first rejection of eight
 }
 
-// Answers do not pile up for a client that sends requests and reads nothing.
-TEST(ClientSession, AClientThatDoesNotReadIsThrottled) {
+// Responses must not accumulate for a client that sends requests and does not read. Other clients are served
+// meanwhile, and it still gets all responses in the end.
+TEST(ClientSession, AClientThatDoesNotReadDoesNotBlockOthers) {
   ScriptedServer server([](const std::string&) { return Row(std::string(60000, 'v')); });
   RunningServer router({server.port()});
-  Peer greedy = router.Session();
-  std::string asked;
-  for (int i = 0; i < 400; ++i) asked += Ask(std::to_string(i));
-  greedy.Write(asked);
+  Peer non_reading = router.Session();
+  std::string requests;
+  for (int i = 0; i < 400; ++i) requests += Ask(std::to_string(i));
+  non_reading.Write(requests);
   Peer other = router.Session();
   other.Write(Ask("x"));
   EXPECT_EQ(other.UntilReady()[0].first, 'T');
-  for (int i = 0; i < 400; ++i) ASSERT_EQ(greedy.UntilReady()[0].first, 'T') << i;
+  for (int i = 0; i < 400; ++i) ASSERT_EQ(non_reading.UntilReady()[0].first, 'T') << i;
 }
 
 }  // namespace
--- a/tests/listener/large_value_test.cpp
+++ b/tests/listener/large_value_test.cpp
@@ -1,4 +1,4 @@
-// Large values and large statements, which are passed on in parts.
+// Large values, which are forwarded in parts, and large statements, which wait for memory.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
@@ -18,16 +18,17 @@
 namespace tulipyoke::net {
 namespace {
 
-std::string Noise(std::size_t size) {
+std::string RandomBytes(std::size_t size) {
   std::mt19937 random(7);
   std::string bytes(size, '\0');
   for (char& c : bytes) c = static_cast<char>(random());
   return bytes;
 }
 
-// Large values are not taken for malformed data, not buffered as a whole, and not mixed up with what follows.
+// Guards against treating a large value as malformed, buffering it as a whole, or mixing it up with the next
+// response.
 TEST(LargeValue, ReachesTheClientUnchanged) {
-  const std::string value = Noise(std::size_t{4} << 20);
+  const std::string value = RandomBytes(std::size_t{4} << 20);
   ScriptedServer server([&](const std::string& query) {
     return Row(query.find("id=1,") == std::string::npos ? "small" : value);
   });
@@ -36,27 +37,27 @@
   const int small = 65536;
   setsockopt(client.socket().native_handle(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
   client.Write(Ask("1") + Ask("2"));
-  // Another client is served while this one does not read.
+  // Another client is served while this one is not reading.
   Peer other = router.Session();
   other.Write(Ask("3"));
   EXPECT_EQ(other.UntilReady()[0].first, 'T');
-  const Messages m = client.UntilReady();
-  ASSERT_EQ(m.size(), 4u);
-  EXPECT_EQ(m[0].second, kShape);
-  EXPECT_TRUE(*pg::ParseSingleColumn(m[1].second) == value);
-  EXPECT_EQ(m[2].second, std::string("SELECT 1\0", 9));
+  const Messages messages = client.UntilReady();
+  ASSERT_EQ(messages.size(), 4u);
+  EXPECT_EQ(messages[0].second, kShape);
+  EXPECT_TRUE(*pg::ParseSingleColumn(messages[1].second) == value);
+  EXPECT_EQ(messages[2].second, std::string("SELECT 1\0", 9));
   EXPECT_EQ(*pg::ParseSingleColumn(client.UntilReady()[1].second), "small");
   EXPECT_NE(router.Call("GET", "/control/counters").find("passed.any=3\n"), std::string::npos);
 }
 
-// A value that breaks off must not look complete, and a retry must not send its rest.
-TEST(LargeValue, ABrokenValueClosesTheConnectionWithoutRetry) {
+// A truncated value must not look complete, and must not be completed by a retry.
+TEST(LargeValue, AnIncompleteValueClosesTheConnectionWithoutRetry) {
   for (const bool garbage : {false, true}) {
-    std::string answer = Row(Noise(300'000));
-    if (garbage) answer[answer.size() - 50] = '\xff';  // behind the value
-    const std::string sent = garbage ? answer : answer.substr(0, 200'000);
+    std::string response = Row(RandomBytes(300'000));
+    if (garbage) response[response.size() - 50] = '\xff';  // after the value
+    const std::string sent = garbage ? response : response.substr(0, 200'000);
     ScriptedServer server([&](const std::string&) { return sent; }, !garbage);
-    // With so few descriptors that the second statement waits for the end of the first.
+    // 64 descriptors are so few that the second statement waits for the end of the first.
     RunningServer router({server.port()}, 64);
     Peer client = router.Session();
     client.Write(Ask("1") + Ask("2"));
@@ -69,14 +70,14 @@
 
 // Large statements wait for memory without delaying small ones, and are neither rejected nor changed.
 TEST(LargeStatement, WaitsForMemoryAndReachesTheServerUnchanged) {
-  std::mutex gate;
-  gate.lock();
+  std::mutex response_mutex;
+  response_mutex.lock();
   ScriptedServer server([&](const std::string& query) {
-    if (query.starts_with("INSERT")) const std::lock_guard wait(gate);
-    std::string answer = Row("for " + query.substr(query.find("id="), 4));
-    return answer.replace(answer.find("standby"), 7, "primary");
+    if (query.starts_with("INSERT")) const std::lock_guard guard(response_mutex);
+    std::string response = Row("for " + query.substr(query.find("id="), 4));
+    return response.replace(response.find("standby"), 7, "primary");
   });
-  // Room for two of them.
+  // The budget allows two of these statements at a time.
   RunningServer router({server.port()}, 256, 1, [](Config& config) {
     config.settings.classes[0].freshness = Freshness::kAny;
     config.settings.classes.push_back(config.settings.classes[0]);
@@ -85,7 +86,7 @@
     config.settings.listed_role = ListedRole::kInitial;
     config.cached_listing.servers[0].leads = true;
     config.memory_bytes = std::size_t{48} << 20;
-    config.connect_timeout = 5'000'000;  // the loop may be busy with these for longer than usual
+    config.connect_timeout = 5'000'000;  // these statements can keep the event loop busy
   });
   const std::string digits(std::size_t{8} << 20, 'a');
   const auto statement = [&](const std::string& id) {
@@ -93,10 +94,10 @@
            ",c=put,d=20000,cluster=0 */";
   };
   std::vector<Peer> writers;
-  std::vector<std::thread> sending;
+  std::vector<std::thread> senders;
   for (int i = 0; i < 4; ++i) writers.push_back(router.Session());
   for (int i = 0; i < 4; ++i) {
-    sending.emplace_back(
+    senders.emplace_back(
         [&, i] { writers[static_cast<std::size_t>(i)].Write(Query(statement(std::to_string(i)))); });
   }
   while (server.queries().size() < 2) std::this_thread::yield();
@@ -104,12 +105,12 @@
   reader.Write(Ask("r"));
   EXPECT_EQ(reader.UntilReady()[0].first, 'T');
   EXPECT_NE(router.Call("GET", "/control/counters").find("in_progress=2\n"), std::string::npos);
-  gate.unlock();
-  for (std::thread& t : sending) t.join();
+  response_mutex.unlock();
+  for (std::thread& sender : senders) sender.join();
   for (std::size_t i = 0; i < 4; ++i) {
-    const Messages m = writers[i].UntilReady();
-    ASSERT_EQ(m.size(), 4u) << CodeOf(m) << " " << i;
-    EXPECT_EQ(*pg::ParseSingleColumn(m[1].second), "for id=" + std::to_string(i));
+    const Messages messages = writers[i].UntilReady();
+    ASSERT_EQ(messages.size(), 4u) << CodeOf(messages) << " " << i;
+    EXPECT_EQ(*pg::ParseSingleColumn(messages[1].second), "for id=" + std::to_string(i));
   }
   for (const std::string& query : server.queries()) {
     if (!query.starts_with("INSERT")) continue;
@@ -119,19 +120,19 @@
   }
 }
 
-// A statement larger than the whole budget does not wait for ever, and memory is returned.
+// A statement larger than the whole budget gets a reservation, and reserved memory is returned.
 TEST(StatementBudget, ReturnsMemoryAndAdmitsOversizedStatements) {
   int released = 0;
-  StatementBudget::Room outlives;
+  StatementBudget::Reservation outlives;
   {
     StatementBudget budget(100);
     budget.OnRelease([&] { ++released; });
-    StatementBudget::Room a = budget.Reserve(60);
+    StatementBudget::Reservation a = budget.Reserve(60);
     ASSERT_TRUE(a);
     EXPECT_FALSE(budget.Reserve(41));
-    const StatementBudget::Room copy = a;
+    const StatementBudget::Reservation copy = a;
     a.reset();
-    EXPECT_EQ(budget.held(), 60u);
+    EXPECT_EQ(budget.reserved(), 60u);
     EXPECT_TRUE(budget.Reserve(40));
     EXPECT_EQ(released, 1);
     outlives = copy;
