--- a/include/tulipyoke/router.hpp
+++ b/include/tulipyoke/router.hpp
@@ -29,7 +29,7 @@
 // read, or it waits up to Settings::catch_up_wait first.
 enum class StalenessGuard { kOff, kReject, kWait };
 // Who keeps the position of a session's writes: the router, or the client with each request.
-enum class TokenMode { kRemembered, kCarried };
+enum class TokenMode { kStoredByRouter, kSentByClient };
 // Whether the endpoint list names the primary: never, at the start only, or with a delay.
 enum class ListedRole { kNever, kInitial, kDelayed };
 // How servers report their load: not at all, with each response, or with health checks.
@@ -61,7 +61,7 @@
   std::vector<TenantSettings> tenants;
   StalenessGuard staleness_guard = StalenessGuard::kOff;
   Micros catch_up_wait = 0;
-  TokenMode token_mode = TokenMode::kRemembered;
+  TokenMode token_mode = TokenMode::kStoredByRouter;
   ListedRole listed_role = ListedRole::kNever;
   Micros position_epoch = 0;        // clock time from which positions count
   bool poll_endpoint_list = false;  // updates come only after WatchEndpointList or FetchEndpointList
@@ -73,17 +73,17 @@
   bool hedging_allowed = false;
   bool retry_after = false;  // whether a rejection may tell when to come back
   Micros max_retry_after = 0;
-  int max_attempts = 0;              // of one request; 0: no limit
-  Micros response_slack = 0;         // after its deadline a request is still answered within this time
-  Micros max_list_age = 0;           // 0: not stated
-  double slow_start_fraction = 0;    // of its capacity that a server has when it starts
-  Micros slow_start_window = 0;      // after which it has all of it
-  double overload_multiple = 0;      // of its capacity that overloads a server which warms up
-  Micros overload_window = 0;        // over which that load is measured
-  Micros drain_timeout = 0;          // after which a draining server may end
-  bool only_draining_binds = false;  // servers that are listed as gone, or not at all, may still be used
-  double over_quota_weight = 1;      // of answers to a tenant above its quota
-  double health_check_cost = 0;      // prices, in units of priority_weight
+  int max_attempts = 0;            // of one request; 0: no limit
+  Micros response_slack = 0;       // after its deadline a request is still answered within this time
+  Micros max_list_age = 0;         // 0: not stated
+  double slow_start_fraction = 0;  // of its capacity that a server has when it starts
+  Micros slow_start_window = 0;    // after which it has all of it
+  double overload_multiple = 0;    // of its capacity that overloads a server which warms up
+  Micros overload_window = 0;      // over which that load is measured
+  Micros drain_timeout = 0;        // after which a draining server may end
+  bool use_gone_servers = false;   // servers that are listed as gone, or not at all, may still be used
+  double over_quota_weight = 1;    // of answers to a tenant above its quota
+  double health_check_cost = 0;    // prices, in units of priority_weight
   double cross_zone_cost = 0;
   double waste_cost = 0;
   Micros clock_resolution = 0;
@@ -132,7 +132,7 @@
   std::uint64_t key = 0;      // the session; 0: none
   Micros remaining = 0;       // until the client gives up
   Micros waited = 0;          // from its arrival until this event
-  double ms_since_write = 0;  // with TokenMode::kCarried; 0: no write
+  double ms_since_write = 0;  // with TokenMode::kSentByClient; 0: no write
   bool is_retry = false;
 };
 struct AttemptEnded {
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -147,7 +147,7 @@
       {{"off", StalenessGuard::kOff}, {"reject", StalenessGuard::kReject}, {"hold", StalenessGuard::kWait}});
   s.catch_up_wait = reader.Integer("domain.catch_up_wait");
   s.token_mode = reader.ChoiceOf<TokenMode>(
-      "domain.token_mode", {{"router", TokenMode::kRemembered}, {"client", TokenMode::kCarried}});
+      "domain.token_mode", {{"router", TokenMode::kStoredByRouter}, {"client", TokenMode::kSentByClient}});
   s.listed_role = reader.ChoiceOf<ListedRole>(
       "domain.role_listed",
       {{"off", ListedRole::kNever}, {"initial", ListedRole::kInitial}, {"delayed", ListedRole::kDelayed}});
@@ -180,7 +180,7 @@
   s.overload_multiple = reader.Number("rules.tip_multiple");
   s.overload_window = reader.Integer("rules.fall");
   s.drain_timeout = reader.Integer("rules.drain_grace");
-  s.only_draining_binds = reader.Flag("rules.dropped_stay_open");
+  s.use_gone_servers = reader.Flag("rules.dropped_stay_open");
 }
 
 void ReadPrices(const TableReader& reader, Settings& s) {
--- a/src/endpoints/endpoint_table.cpp
+++ b/src/endpoints/endpoint_table.cpp
@@ -25,7 +25,7 @@
 }
 
 void EndpointTable::CloseUnlisted(const EndpointListUpdate& update) {
-  if (context_.settings.only_draining_binds) return;
+  if (context_.settings.use_gone_servers) return;
   for (auto& [id, server] : servers_) {
     const auto is_entry = [&, key = id](const EndpointEntry& entry) { return entry.server == key; };
     if (std::none_of(update.entries.begin(), update.entries.end(), is_entry)) server.open = false;
@@ -65,7 +65,7 @@
 void EndpointTable::SetState(Server& server, ServerState state) const {
   if (state == ServerState::kReady) server.open = true;
   if (state == ServerState::kDraining) server.open = false;
-  if (state == ServerState::kGone && !context_.settings.only_draining_binds) server.open = false;
+  if (state == ServerState::kGone && !context_.settings.use_gone_servers) server.open = false;
 }
 
 void EndpointTable::ObserveRole(Server& server, Role role, Micros when) {
--- a/src/endpoints/outcome_observer.cpp
+++ b/src/endpoints/outcome_observer.cpp
@@ -79,7 +79,7 @@
 // Kept by attempt and not by request: a write may go through after its request has ended.
 void OutcomeObserver::RecordCommit(const Server& server, const InFlightAttempt& attempt,
                                    const AttemptEnded& outcome, Micros now) {
-  if (context_.settings.token_mode != TokenMode::kRemembered || attempt.key == 0) return;
+  if (context_.settings.token_mode != TokenMode::kStoredByRouter || attempt.key == 0) return;
   // A commit whose position is not told is taken to be now: to round up is safe.
   const bool told = outcome.position_ms.has_value();
   const Micros position = told ? *outcome.position_ms * kMicrosPerMilli : context_.PositionAt(now);
--- a/src/policy/request_router.cpp
+++ b/src/policy/request_router.cpp
@@ -57,7 +57,7 @@
 Micros RequestRouter::SessionPosition(const RequestArrived& event, Micros now) const {
   if (context_.ClassOf(event.class_index).freshness != Freshness::kSession) return estimates::kNoPosition;
   const Micros present = context_.PositionAt(now);
-  if (context_.settings.token_mode != TokenMode::kCarried) {
+  if (context_.settings.token_mode != TokenMode::kSentByClient) {
     return sessions_known_ ? tokens_.Required(event.key, event.group) : present;
   }
   if (!(event.ms_since_write > 0)) return estimates::kNoPosition;
--- a/tests/adapter/codec_test.cpp
+++ b/tests/adapter/codec_test.cpp
@@ -216,7 +216,7 @@
   EXPECT_EQ(s.classes[1].freshness, Freshness::kBounded);
   EXPECT_EQ(s.classes[1].staleness_bound, 3000000);
   EXPECT_EQ(s.staleness_guard, StalenessGuard::kWait);
-  EXPECT_EQ(s.token_mode, TokenMode::kCarried);
+  EXPECT_EQ(s.token_mode, TokenMode::kSentByClient);
   EXPECT_EQ(s.listed_role, ListedRole::kDelayed);
   EXPECT_EQ(s.load_report_source, LoadReportSource::kResponses);
   EXPECT_TRUE(s.poll_endpoint_list);
--- a/tests/discovery/poll_backoff_test.cpp
+++ b/tests/discovery/poll_backoff_test.cpp
@@ -7,7 +7,7 @@
 #include <map>
 #include <vector>
 
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke::limits {
 namespace {
--- a/tests/dispatch/command_oracle_test.cpp
+++ b/tests/dispatch/command_oracle_test.cpp
@@ -14,7 +14,7 @@
 
 #include "src/dispatch/dispatcher.hpp"
 #include "tests/dispatch/reproducible.hpp"
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke {
 namespace {
@@ -41,7 +41,7 @@
   if (kind == RunKind::kOtherSettings) {
     settings.listed_role = ListedRole::kNever;
     settings.max_attempts = 2;
-    settings.token_mode = TokenMode::kCarried;
+    settings.token_mode = TokenMode::kSentByClient;
     settings.hedging_allowed = true;
     settings.staleness_guard = StalenessGuard::kWait;
     settings.catch_up_wait = 100 * kMs;
--- a/tests/dispatch/drain_test.cpp
+++ b/tests/dispatch/drain_test.cpp
@@ -29,13 +29,13 @@
 // could retry elsewhere; and against one that may have run and is rejected, which says a retry is harmless.
 TEST(DrainDeadline, TheDrainDeadlineRejectsWhatWasNeverSent) {
   DispatcherHarness harness;
-  const RequestId out = harness.Submit(kUnsafeWrite, 5 * kSecond);
+  const RequestId out = harness.Submit(kNonIdempotentWrite, 5 * kSecond);
   ASSERT_EQ(harness.attempts.size(), 1u);
   harness.dispatcher.OperationWritten(harness.attempts[0].operation_id);
   ListedServer drains = DispatcherHarness::Listed("p");
   drains.state = ServerState::kDraining;
   harness.dispatcher.UpdateEndpoints(harness.now, EndpointList{8, false, {drains}});
-  const RequestId held = harness.Submit(kUnsafeWrite, 5 * kSecond);
+  const RequestId held = harness.Submit(kNonIdempotentWrite, 5 * kSecond);
   EXPECT_EQ(harness.attempts.size(), 1u);
   harness.dispatcher.SetDrainDeadline(harness.now + 700 * kMs);
   harness.Advance(701 * kMs);
--- a/tests/dispatch/request_lifecycle_test.cpp
+++ b/tests/dispatch/request_lifecycle_test.cpp
@@ -169,7 +169,7 @@
 TEST(Dispatcher, OnlyACompletelyWrittenAttemptMayHaveRunAtItsTimeout) {
   for (const bool written : {true, false}) {
     DispatcherHarness harness;
-    const RequestId id = harness.Submit(kUnsafeWrite);
+    const RequestId id = harness.Submit(kNonIdempotentWrite);
     ASSERT_EQ(harness.attempts.size(), 1u);
     if (written) harness.dispatcher.OperationWritten(harness.attempts[0].operation_id);
     harness.Advance(2 * kSecond);
--- a/tests/dispatch/write_barrier_test.cpp
+++ b/tests/dispatch/write_barrier_test.cpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "src/dispatch/dispatcher.hpp"
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke {
 namespace {
--- a/tests/endpoints/endpoint_fixture.hpp
+++ b/tests/endpoints/endpoint_fixture.hpp
@@ -9,7 +9,7 @@
 
 #include "src/endpoints/endpoint_table.hpp"
 #include "src/endpoints/health_checks.hpp"
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke::endpoints {
 
@@ -23,7 +23,7 @@
     table_.Apply({kind, 1, std::move(entries)}, checks_, scope);
   }
   static EndpointEntry WithState(ServerId id, ServerState state) {
-    EndpointEntry entry = Ready(id);
+    EndpointEntry entry = ReadyEntry(id);
     entry.state = state;
     return entry;
   }
--- a/tests/endpoints/endpoint_table_test.cpp
+++ b/tests/endpoints/endpoint_table_test.cpp
@@ -12,20 +12,20 @@
 using EndpointTableTest = EndpointFixture;
 
 TEST_F(EndpointTableTest, AServerThatJoinsIsCheckedAndWarmsUp) {
-  Apply(EndpointListKind::kCached, {Ready(1, true)});
+  Apply(EndpointListKind::kCached, {ReadyEntry(1, true)});
   EXPECT_TRUE(actions_.empty());
   EXPECT_EQ(table_.At(1).slow_start_from, kNever);
-  Apply(EndpointListKind::kDelta, {Ready(2)});
-  ASSERT_EQ(Only<CheckHealth>(actions_).size(), 1u);
-  EXPECT_EQ(Only<CheckHealth>(actions_)[0].server, 2u);
+  Apply(EndpointListKind::kDelta, {ReadyEntry(2)});
+  ASSERT_EQ(ActionsOfType<CheckHealth>(actions_).size(), 1u);
+  EXPECT_EQ(ActionsOfType<CheckHealth>(actions_)[0].server, 2u);
   EXPECT_EQ(table_.At(2).slow_start_from, now_);
   EXPECT_TRUE(IsWarm(context_, table_.At(1), now_));
   EXPECT_FALSE(IsWarm(context_, table_.At(2), now_));
 }
 
 TEST_F(EndpointTableTest, AFullListClosesWhatItLeavesOut) {
-  Apply(EndpointListKind::kCached, {Ready(1, true), Ready(2), Ready(3)});
-  Apply(EndpointListKind::kFull, {Ready(1, true), WithState(3, ServerState::kDraining)});
+  Apply(EndpointListKind::kCached, {ReadyEntry(1, true), ReadyEntry(2), ReadyEntry(3)});
+  Apply(EndpointListKind::kFull, {ReadyEntry(1, true), WithState(3, ServerState::kDraining)});
   EXPECT_TRUE(table_.At(1).open);
   EXPECT_FALSE(table_.At(2).open);
   EXPECT_FALSE(table_.At(3).open);
@@ -35,7 +35,7 @@
 }
 
 TEST_F(EndpointTableTest, AnObservedPrimaryHoldsAgainstAListedOne) {
-  Apply(EndpointListKind::kCached, {Ready(1, true), Ready(2), Ready(3)});
+  Apply(EndpointListKind::kCached, {ReadyEntry(1, true), ReadyEntry(2), ReadyEntry(3)});
   EXPECT_EQ(table_.GroupAt(0).primary, 1u);
   table_.ObserveRole(table_.At(3), Role::kPrimary, now_);
   EXPECT_EQ(table_.GroupAt(0).primary, 3u);
@@ -48,7 +48,7 @@
 }
 
 TEST_F(EndpointTableTest, AGoneServerIsDroppedOnceNothingIsInFlightThere) {
-  Apply(EndpointListKind::kCached, {Ready(1), Ready(2)});
+  Apply(EndpointListKind::kCached, {ReadyEntry(1), ReadyEntry(2)});
   table_.NoteOpenServers(now_);
   Apply(EndpointListKind::kDelta, {WithState(1, ServerState::kGone), WithState(2, ServerState::kGone)});
   table_.At(2).in_flight.Add({.id = 7});
--- a/tests/endpoints/health_checks_test.cpp
+++ b/tests/endpoints/health_checks_test.cpp
@@ -11,7 +11,7 @@
 using HealthChecksTest = EndpointFixture;
 
 TEST_F(HealthChecksTest, HealthChecksKeepToTheirInterval) {
-  Apply(EndpointListKind::kCached, {Ready(1)});
+  Apply(EndpointListKind::kCached, {ReadyEntry(1)});
   Server& server = table_.At(1);
   EventScope scope{now_, actions_};
   checks_.Request(server, 50 * kMs, scope);
@@ -27,7 +27,7 @@
 
 // Guards against hundreds of routers that check all servers at once.
 TEST_F(HealthChecksTest, HealthChecksKeepToTheirBudget) {
-  Apply(EndpointListKind::kCached, {Ready(1)});
+  Apply(EndpointListKind::kCached, {ReadyEntry(1)});
   Server& server = table_.At(1);
   EventScope scope{now_, actions_};
   const auto request = [&] {
--- a/tests/endpoints/list_refresh_test.cpp
+++ b/tests/endpoints/list_refresh_test.cpp
@@ -5,7 +5,7 @@
 
 #include <vector>
 
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke::endpoints {
 namespace {
@@ -21,11 +21,11 @@
     EventScope scope{now, actions};
     refresh.RunIfDue(scope);
   }
-  EXPECT_EQ(Only<WatchEndpointList>(actions).size(), 4u);
+  EXPECT_EQ(ActionsOfType<WatchEndpointList>(actions).size(), 4u);
   refresh.Failed(106 * kSecond);
   EventScope soon{106 * kSecond + 400 * kMs, actions};
   refresh.RunIfDue(soon);
-  EXPECT_EQ(Only<WatchEndpointList>(actions).size(), 5u);
+  EXPECT_EQ(ActionsOfType<WatchEndpointList>(actions).size(), 5u);
 }
 
 }  // namespace
--- a/tests/endpoints/outcome_observer_test.cpp
+++ b/tests/endpoints/outcome_observer_test.cpp
@@ -11,7 +11,7 @@
 using OutcomeObserverTest = EndpointFixture;
 
 TEST_F(OutcomeObserverTest, AnOutcomeTellsLatencyAndPosition) {
-  Apply(EndpointListKind::kCached, {Ready(1, true), Ready(2)});
+  Apply(EndpointListKind::kCached, {ReadyEntry(1, true), ReadyEntry(2)});
   sessions::ConsistencyTokens tokens;
   OutcomeObserver observer(context_, table_, tokens);
   AttemptEnded outcome;
@@ -30,7 +30,7 @@
 }
 
 TEST_F(OutcomeObserverTest, ACommitIsRecordedForItsSession) {
-  Apply(EndpointListKind::kCached, {Ready(1, true), Ready(2)});
+  Apply(EndpointListKind::kCached, {ReadyEntry(1, true), ReadyEntry(2)});
   sessions::ConsistencyTokens tokens;
   OutcomeObserver observer(context_, table_, tokens);
   AttemptEnded outcome;
--- a/tests/endpoints/server_test.cpp
+++ b/tests/endpoints/server_test.cpp
@@ -11,11 +11,11 @@
 using ServerTest = EndpointFixture;
 
 TEST_F(ServerTest, ANewBootTimeForgetsWhatWasLearned) {
-  Apply(EndpointListKind::kCached, {Ready(1), Ready(2)});
+  Apply(EndpointListKind::kCached, {ReadyEntry(1), ReadyEntry(2)});
   Server& server = table_.At(2);
   server.slowness.Observe(now_, context_.scales, 5);
   server.failures.Observe(now_, true, kSecond);
-  EndpointEntry restarted = Ready(2);
+  EndpointEntry restarted = ReadyEntry(2);
   restarted.boot_time = now_ + 1;
   Apply(EndpointListKind::kDelta, {restarted});
   EXPECT_DOUBLE_EQ(server.slowness.At(now_, kSecond), 1);
@@ -24,7 +24,7 @@
 }
 
 TEST_F(ServerTest, AnEjectedServerAdmitsOneTrialAfterACheck) {
-  Apply(EndpointListKind::kCached, {Ready(1)});
+  Apply(EndpointListKind::kCached, {ReadyEntry(1)});
   Server& server = table_.At(1);
   EXPECT_TRUE(server.AdmitsTrial(true));
   server.ejection.Eject(now_, limits::OutlierSign::kSlow, context_.scales, context_.random);
--- a/tests/endpoints/warm_rates_test.cpp
+++ b/tests/endpoints/warm_rates_test.cpp
@@ -11,7 +11,7 @@
 using WarmRatesTest = EndpointFixture;
 
 TEST_F(WarmRatesTest, TheWarmRateIsThatOfWarmReplicas) {
-  Apply(EndpointListKind::kCached, {Ready(1, true), Ready(2), Ready(3)});
+  Apply(EndpointListKind::kCached, {ReadyEntry(1, true), ReadyEntry(2), ReadyEntry(3)});
   for (const ServerId id : {1u, 2u, 3u}) {
     table_.At(id).throughput.Add(now_, id * 100 * kMs, context_.scales.work_span);
   }
--- a/tests/estimates/load_report_test.cpp
+++ b/tests/estimates/load_report_test.cpp
@@ -5,7 +5,7 @@
 
 #include <limits>
 
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke::estimates {
 namespace {
--- a/tests/limits/slow_start_budget_test.cpp
+++ b/tests/limits/slow_start_budget_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke::limits {
 namespace {
--- a/tests/listener/leaving_test.cpp
+++ b/tests/listener/leaving_test.cpp
@@ -165,7 +165,7 @@
   Settings settings = RouterHarness::SingleClassSettings(Idempotency::kIdempotent);
   settings.classes[0].freshness = Freshness::kSession;
   settings.classes[0].latency_objective = 800'000;
-  settings.token_mode = TokenMode::kCarried;
+  settings.token_mode = TokenMode::kSentByClient;
   ManualServer server;
   RouterHarness harness(settings);
   harness.Start({RouterHarness::ListedServerAt("a", server.port())});
--- a/tests/policy/action_oracle_test.cpp
+++ b/tests/policy/action_oracle_test.cpp
@@ -35,7 +35,7 @@
 }
 Settings CarriedTokens() {
   Settings settings = RejectingGuards();
-  settings.token_mode = TokenMode::kCarried;
+  settings.token_mode = TokenMode::kSentByClient;
   settings.reports_are_floats = false;
   return settings;
 }
@@ -69,7 +69,7 @@
   Settings settings = QueueReports();
   settings.poll_endpoint_list = true;
   settings.max_list_age = 4 * kSecond;
-  settings.only_draining_binds = true;
+  settings.use_gone_servers = true;
   return settings;
 }
 Settings LateAnswersCount() {
--- a/tests/policy/ejection_routing_test.cpp
+++ b/tests/policy/ejection_routing_test.cpp
@@ -4,49 +4,49 @@
 #include <map>
 #include <optional>
 
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke {
 namespace {
 
 TEST(OutlierDetection, ASilentServerIsEjected) {
-  Scene scene;
-  Settle(scene);
+  RouterHarness scene;
+  ReportPositions(scene);
   const auto silent = *SentTo(scene.Arrive(1, kAnyRead), 1);
   scene.Advance(390 * kMs);
   const auto after = scene.EndAttempt(1, silent, Status::kTimeout, Role::kUnknown, {}, -1, true, 390 * kMs);
-  EXPECT_EQ(Only<CheckHealth>(after).size(), 1u);
+  EXPECT_EQ(ActionsOfType<CheckHealth>(after).size(), 1u);
   for (RequestId id = 2; id < 8; ++id) EXPECT_NE(SentTo(scene.Arrive(id, kAnyRead), id), silent);
 }
 
 // A client with little time tells nothing of the server.
 TEST(OutlierDetection, AShortTimeOutIsNoSignOfTheServer) {
-  Scene scene;
-  Settle(scene);
+  RouterHarness scene;
+  ReportPositions(scene);
   const auto to = *SentTo(scene.Arrive(1, kAnyRead), 1);
   scene.Advance(30 * kMs);
   const auto after = scene.EndAttempt(1, to, Status::kTimeout, Role::kUnknown, {}, -1, true, 30 * kMs);
-  EXPECT_TRUE(Only<CheckHealth>(after).empty());
+  EXPECT_TRUE(ActionsOfType<CheckHealth>(after).empty());
 }
 
 TEST(OutlierDetection, AnEjectedServerIsTriedByOneRequestAfterAHealthCheck) {
-  Scene scene;
-  Settle(scene);
-  scene.Arrive(1, kUnsafeWrite);
+  RouterHarness scene;
+  ReportPositions(scene);
+  scene.Arrive(1, kNonIdempotentWrite);
   scene.Advance(10 * kMs);
   scene.EndAttempt(1, 1, Status::kReset);
   scene.FailHealthCheck(1);
-  EXPECT_FALSE(SentTo(scene.Arrive(2, kUnsafeWrite), 2));
+  EXPECT_FALSE(SentTo(scene.Arrive(2, kNonIdempotentWrite), 2));
   scene.Advance(120 * kMs);
-  scene.Arrive(3, kUnsafeWrite);
-  const auto sent = Only<Send>(scene.ReportHealthCheck(1, 0, true));
+  scene.Arrive(3, kNonIdempotentWrite);
+  const auto sent = ActionsOfType<Send>(scene.ReportHealthCheck(1, 0, true));
   EXPECT_EQ(sent.size(), 1u);
 }
 
 // Guards against leaving out one server after the other where connections break at all of them alike, and
 // against sending on and on to one that fails at once, which looks idle: it is tried again after a while.
 TEST(OutlierDetection, AServerIsJudgedByItsShareOfFailures) {
-  Scene s;
+  RouterHarness s;
   RequestId id = 0;
   std::map<ServerId, int> sends;
   const auto play = [&](int count, auto status) {
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -9,7 +9,7 @@
 #include <tuple>
 #include <vector>
 
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke {
 namespace {
@@ -25,34 +25,35 @@
 
 // Guards against hundreds of routers that all ask all servers at their start: one may ask one server then.
 TEST(Fleet, HealthChecksAtOnceAreSharedByAllRouters) {
-  Scene scene(FleetSettings());
-  std::size_t probes = Only<CheckHealth>(scene.Arrive(1, kFreshRead)).size();
-  for (int i = 0; i < 10; ++i) probes += Only<CheckHealth>(scene.Advance(50 * kMs)).size();
+  RouterHarness scene(FleetSettings());
+  std::size_t probes = ActionsOfType<CheckHealth>(scene.Arrive(1, kFreshRead)).size();
+  for (int i = 0; i < 10; ++i) probes += ActionsOfType<CheckHealth>(scene.Advance(50 * kMs)).size();
   EXPECT_EQ(probes, 1u);
 }
 
 // Guards against writes rejected because no health check was left to find their primary: the members are
 // tried in turn, each once, and what their answers told holds for the writes that follow.
 TEST(Fleet, AWriteFindsItsPrimaryWhenNobodyCanBeAsked) {
-  Scene scene(FleetSettings());
-  const auto asked = Only<CheckHealth>(scene.Arrive(1, kFreshRead));  // the one health check that there is
+  RouterHarness scene(FleetSettings());
+  const auto asked =
+      ActionsOfType<CheckHealth>(scene.Arrive(1, kFreshRead));  // the one health check that there is
   ASSERT_EQ(asked.size(), 1u);
   scene.ReportHealthCheck(asked[0].server, 0, false);
   std::set<ServerId> tried;
-  auto to = SentTo(scene.Arrive(2, kUnsafeWrite), 2);
+  auto to = SentTo(scene.Arrive(2, kNonIdempotentWrite), 2);
   while (to && *to != 3) {
     EXPECT_TRUE(tried.insert(*to).second) << "a second try of " << *to;
     to = SentTo(scene.EndAttempt(2, *to, Status::kStaleOrWrongRole, Role::kReplica, scene.now_ms() - 10), 2);
   }
   ASSERT_EQ(to, 3u);
   scene.EndAttempt(2, 3, Status::kOk, Role::kPrimary, scene.now_ms());
-  EXPECT_EQ(SentTo(scene.Arrive(3, kUnsafeWrite), 3), 3u);
+  EXPECT_EQ(SentTo(scene.Arrive(3, kNonIdempotentWrite), 3), 3u);
 }
 
 // Guards against bounded reads parked for a health check that never comes: where servers check by themselves,
 // one read goes ahead of what was shown, and only one.
 TEST(Fleet, AReadChecksTheFreshnessOfAReplicaByItself) {
-  Scene scene(FleetSettings());
+  RouterHarness scene(FleetSettings());
   const auto first = SentTo(scene.Arrive(1, kBoundedRead), 1);
   const auto second = SentTo(scene.Arrive(2, kBoundedRead), 2);
   const auto third = SentTo(scene.Arrive(3, kBoundedRead), 3);
@@ -61,14 +62,14 @@
   EXPECT_FALSE(SentTo(scene.Arrive(4, kBoundedRead), 4));
   Settings off = FleetSettings();
   off.staleness_guard = StalenessGuard::kOff;
-  Scene unguarded(off);
+  RouterHarness unguarded(off);
   EXPECT_FALSE(SentTo(unguarded.Arrive(1, kBoundedRead), 1));
 }
 
 // Guards against a jammed replica that a router which asks it once in seconds learns of only after tens of
 // requests: one answer after a silence counts for half, and what nothing confirms is forgotten.
 TEST(Fleet, OneLateAnswerAfterASilenceIsEnoughToPassAServerOver) {
-  Scene scene(FleetSettings());
+  RouterHarness scene(FleetSettings());
   const auto slow = SentTo(scene.Arrive(1, kAnyRead), 1);
   ASSERT_TRUE(slow);
   scene.Advance(390 * kMs);
@@ -83,7 +84,7 @@
   EXPECT_EQ(again, 0);
   // The others die: it is asked again.
   for (const ServerId other : {1u, 2u, 3u}) {
-    EndpointEntry gone = Ready(other);
+    EndpointEntry gone = ReadyEntry(other);
     gone.state = ServerState::kGone;
     if (other != *slow) scene.UpdateList(EndpointListKind::kDelta, {gone});
   }
@@ -93,7 +94,7 @@
 
 // Guards against a share of admitted reads that stays low for minutes where few answers could raise it.
 TEST(Fleet, ReadsAreAdmittedAgainWhenNothingConfirmsTheOverload) {
-  Scene scene(FleetSettings());
+  RouterHarness scene(FleetSettings());
   for (RequestId id = 1; id <= 5; ++id) {
     scene.Advance(kSecond);
     if (const auto to = SentTo(scene.Arrive(id, kAnyRead), id))
@@ -113,7 +114,7 @@
 TEST(Fleet, AnOverloadedGroupAdmitsTheReadsOfTheHighestPriority) {
   Settings settings = FleetSettings();
   settings.classes[kSessionRead].priority_weight = 3;
-  Scene scene(settings);
+  RouterHarness scene(settings);
   std::map<int, int> sent;
   for (RequestId id = 1; id <= 400; ++id) {
     scene.Advance(200 * kMs);
@@ -131,9 +132,9 @@
 // Guards against reads rejected after one quick error with nearly all of their time left: reads that time out
 // at their objective, and so have no retry, took the budget of those that could have one.
 TEST(Fleet, OnlyARetryThatCanFollowIsChargedFor) {
-  Scene scene(FleetSettings());
-  std::vector<EndpointEntry> listed = {Ready(1), Ready(2), Ready(3), Ready(4)};
-  for (ServerId other = 11; other <= 16; ++other) listed.push_back(Ready(other, false, 1));
+  RouterHarness scene(FleetSettings());
+  std::vector<EndpointEntry> listed = {ReadyEntry(1), ReadyEntry(2), ReadyEntry(3), ReadyEntry(4)};
+  for (ServerId other = 11; other <= 16; ++other) listed.push_back(ReadyEntry(other, false, 1));
   scene.UpdateList(EndpointListKind::kCached, listed);
   std::map<RequestId, ServerId> out;
   for (RequestId id = 1; id <= 6; ++id) {
@@ -157,8 +158,9 @@
 
 // Guards against a read that goes round replicas which all lag, a wait and a connection at each.
 TEST(Fleet, AReadIsRejectedByThreeReplicasAtMost) {
-  Scene scene(FleetSettings());
-  scene.UpdateList(EndpointListKind::kCached, {Ready(1), Ready(2), Ready(3), Ready(4), Ready(5), Ready(6)});
+  RouterHarness scene(FleetSettings());
+  scene.UpdateList(EndpointListKind::kCached, {ReadyEntry(1), ReadyEntry(2), ReadyEntry(3), ReadyEntry(4),
+                                               ReadyEntry(5), ReadyEntry(6)});
   auto to = SentTo(scene.Arrive(1, kBoundedRead), 1);
   int misses = 0;
   for (; to && misses < 10; ++misses) {
@@ -166,15 +168,16 @@
     const auto actions =
         scene.EndAttempt(1, *to, Status::kStaleOrWrongRole, Role::kReplica, scene.now_ms() - 900);
     to = SentTo(actions, 1);
-    EXPECT_EQ(Only<Reject>(actions).size(), to ? 0u : 1u);
+    EXPECT_EQ(ActionsOfType<Reject>(actions).size(), to ? 0u : 1u);
   }
   EXPECT_EQ(misses, 3);
 }
 
 // Guards against connections to every server from every router: what answered of late is gone back to.
 TEST(Fleet, ARouterKeepsToTheServersThatItHasConnectionsTo) {
-  Scene scene(FleetSettings());
-  scene.UpdateList(EndpointListKind::kCached, {Ready(1), Ready(2), Ready(3), Ready(4), Ready(5), Ready(6)});
+  RouterHarness scene(FleetSettings());
+  scene.UpdateList(EndpointListKind::kCached, {ReadyEntry(1), ReadyEntry(2), ReadyEntry(3), ReadyEntry(4),
+                                               ReadyEntry(5), ReadyEntry(6)});
   std::set<ServerId> used;
   for (RequestId id = 1; id <= 30; ++id) {
     scene.Advance(kSecond);
@@ -198,14 +201,14 @@
   settings.slow_start_window = 18 * kSecond;
   settings.overload_window = 3 * kSecond;
   settings.overload_multiple = 3;
-  std::vector<std::unique_ptr<Scene>> routers;
+  std::vector<std::unique_ptr<RouterHarness>> routers;
   std::vector<double> weights;
   for (int i = 0; i < kRouters; ++i) {
-    routers.push_back(std::make_unique<Scene>(settings, static_cast<std::uint64_t>(i)));
+    routers.push_back(std::make_unique<RouterHarness>(settings, static_cast<std::uint64_t>(i)));
     weights.push_back(skewed ? 1.0 / (1 + i % 30) : 1.0);
-    EndpointEntry cold = Ready(3);
+    EndpointEntry cold = ReadyEntry(3);
     cold.boot_time = routers.back()->now();
-    EndpointEntry leaves = Ready(2);
+    EndpointEntry leaves = ReadyEntry(2);
     leaves.state = ServerState::kDraining;
     routers.back()->UpdateList(EndpointListKind::kDelta, {cold, leaves});
     routers.back()->ReportHealthCheck(1, 0, true);  // the primary takes no reads but in need
@@ -224,11 +227,11 @@
       if (to) out.emplace_back(router, id, *to);
     }
     for (const auto& router : routers) {
-      for (const Send& late : Only<Send>(router->Advance(60 * kMs))) sent.back() += late.server == 3;
+      for (const Send& late : ActionsOfType<Send>(router->Advance(60 * kMs))) sent.back() += late.server == 3;
     }
     for (const auto& [router, id, to] : out) {
       sent.back() += to == 3;
-      Scene& scene = *routers[static_cast<std::size_t>(router)];
+      RouterHarness& scene = *routers[static_cast<std::size_t>(router)];
       scene.EndAttempt(id, to, Status::kOk, Role::kReplica, scene.now_ms() - 5, -1, true, 60 * kMs);
     }
     for (const auto& router : routers) router->Advance(40 * kMs);
@@ -264,20 +267,20 @@
   settings.overload_multiple = 3;
   int to_primary = 0, to_others = 0;
   for (int i = 0; i < kRouters; ++i) {
-    Scene scene(settings, static_cast<std::uint64_t>(i));
+    RouterHarness scene(settings, static_cast<std::uint64_t>(i));
     // The one health check that there is has been spent.
-    for (const CheckHealth& asked : Only<CheckHealth>(scene.Arrive(1, kFreshRead)))
+    for (const CheckHealth& asked : ActionsOfType<CheckHealth>(scene.Arrive(1, kFreshRead)))
       scene.ReportHealthCheck(asked.server, 0, false);
     scene.ReportHealthCheck(1, 0, true);
     scene.EndAttempt(1, 1, Status::kOk, Role::kPrimary, scene.now_ms());
-    EndpointEntry cold = Ready(1);
+    EndpointEntry cold = ReadyEntry(1);
     cold.boot_time = scene.now();
     scene.UpdateList(EndpointListKind::kDelta, {cold});
     scene.Advance(900 * kMs);
-    auto actions = scene.Arrive(2, kUnsafeWrite, 0, 5 * kSecond);
+    auto actions = scene.Arrive(2, kNonIdempotentWrite, 0, 5 * kSecond);
     const auto later = scene.Advance(2 * kSecond);
     actions.insert(actions.end(), later.begin(), later.end());
-    for (const Send& s : Only<Send>(actions)) ++(s.server == 1 ? to_primary : to_others);
+    for (const Send& s : ActionsOfType<Send>(actions)) ++(s.server == 1 ? to_primary : to_others);
   }
   EXPECT_EQ(to_others, 0);
   const double capacity = 80 * 3 * (0.15 + 0.85 * 1.5 / 18);  // requests in its first window
@@ -287,7 +290,7 @@
 
 // Guards against a server that is passed over, long after it is back, for what the process before it did.
 TEST(Fleet, ARestartedServerIsJudgedAnew) {
-  Scene scene;
+  RouterHarness scene;
   RequestId id = 0;
   std::optional<ServerId> to;
   while (to != 2u) {  // the other one is passed over once it is the busier one
@@ -300,7 +303,7 @@
   if (id > 1) scene.EndAttempt(1, 3, Status::kOk, Role::kReplica, scene.now_ms() - 5, -1, true, 60 * kMs);
   scene.Advance(kMs);
   EXPECT_EQ(SentTo(scene.Arrive(id + 1, kAnyRead), id + 1), 3u);  // and is busy with it
-  EndpointEntry anew = Ready(2);
+  EndpointEntry anew = ReadyEntry(2);
   anew.boot_time = scene.now();
   scene.UpdateList(EndpointListKind::kDelta, {anew});
   EXPECT_EQ(SentTo(scene.Arrive(id + 2, kAnyRead), id + 2), 2u);
--- a/tests/policy/invariants_test.cpp
+++ b/tests/policy/invariants_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 #include <vector>
 
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke {
 namespace {
@@ -41,7 +41,7 @@
   std::mt19937 random(static_cast<unsigned>(GetParam().seed));
   const auto pick = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
 
-  Scene scene(settings, static_cast<std::uint64_t>(GetParam().seed));
+  RouterHarness scene(settings, static_cast<std::uint64_t>(GetParam().seed));
   std::map<RequestId, Owed> owed;
   std::vector<Out> out;
   std::map<ServerId, bool> listed = {{1, true}, {2, true}, {3, true}, {4, false}, {5, false}};
@@ -149,7 +149,7 @@
       }
       case 7: {
         const auto id = static_cast<ServerId>(1 + pick(5));
-        EndpointEntry e = Ready(id, id == 1);
+        EndpointEntry e = ReadyEntry(id, id == 1);
         e.state = static_cast<ServerState>(pick(3));
         if (pick(2) == 0) e.boot_time = scene.now() - pick(3000) * kMs;
         if (e.state == ServerState::kReady) listed[id] = true;
--- a/tests/policy/oracle_world.hpp
+++ b/tests/policy/oracle_world.hpp
@@ -12,7 +12,7 @@
 #include <variant>
 #include <vector>
 
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke::oracle {
 
@@ -148,7 +148,7 @@
   using EndpointList = std::vector<EndpointEntry>;
 
   EndpointEntry EntryOf(ServerId id, bool primary) const {
-    EndpointEntry entry = Ready(IdOf(id), primary, id < 6 ? 0 : 1);
+    EndpointEntry entry = ReadyEntry(IdOf(id), primary, id < 6 ? 0 : 1);
     entry.zone = static_cast<int>(id % 3);
     return entry;
   }
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -41,7 +41,7 @@
   EXPECT_FALSE(table_.At(3).ejection.ejected());
   outliers.ObserveAttempt(table_.At(2), attempt, timeout, scope);
   EXPECT_TRUE(table_.At(2).ejection.ejected());
-  EXPECT_EQ(Only<CheckHealth>(actions_).size(), 1u);
+  EXPECT_EQ(ActionsOfType<CheckHealth>(actions_).size(), 1u);
 }
 
 TEST_F(OutlierDetectionTest, AFailedHealthCheckEjectsUnlessItWasRejected) {
--- a/tests/policy/overload_test.cpp
+++ b/tests/policy/overload_test.cpp
@@ -4,7 +4,7 @@
 #include <set>
 #include <vector>
 
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke {
 namespace {
@@ -13,13 +13,13 @@
 TEST(Overload, RetriesAfterOverloadAreLimitedToAShare) {
   Settings s = TestSettings();
   s.router_count = 100;
-  Scene scene(s);
+  RouterHarness scene(s);
   std::size_t sends = 0;
   for (RequestId id = 1; id <= 40; ++id) {
-    std::vector<Send> last = Only<Send>(scene.Arrive(id, kAnyRead));
+    std::vector<Send> last = ActionsOfType<Send>(scene.Arrive(id, kAnyRead));
     while (!last.empty()) {
       ++sends;
-      last = Only<Send>(scene.EndAttempt(id, last.front().server, Status::kOverloaded));
+      last = ActionsOfType<Send>(scene.EndAttempt(id, last.front().server, Status::kOverloaded));
     }
     scene.Advance(60 * kMs);
   }
@@ -27,13 +27,14 @@
 }
 
 TEST(Overload, AnOverloadedServerIsLeftAlone) {
-  Scene scene;
-  Settle(scene);
+  RouterHarness scene;
+  ReportPositions(scene);
   std::size_t sends = 0;
   for (RequestId id = 1; id <= 30; ++id) {
-    const auto actions = scene.Arrive(id, kUnsafeWrite);
-    sends += Only<Send>(actions).size();
-    if (SentTo(actions, id)) sends += Only<Send>(scene.EndAttempt(id, 1, Status::kOverloaded)).size();
+    const auto actions = scene.Arrive(id, kNonIdempotentWrite);
+    sends += ActionsOfType<Send>(actions).size();
+    if (SentTo(actions, id))
+      sends += ActionsOfType<Send>(scene.EndAttempt(id, 1, Status::kOverloaded)).size();
   }
   EXPECT_LE(sends, 3u);
 }
@@ -42,8 +43,8 @@
 TEST(Overload, BackoffIsSpreadOverRouters) {
   std::set<Micros> moments;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Scene scene(TestSettings(), seed);
-    scene.UpdateList(EndpointListKind::kFull, {Ready(1, true), Ready(2)});
+    RouterHarness scene(TestSettings(), seed);
+    scene.UpdateList(EndpointListKind::kFull, {ReadyEntry(1, true), ReadyEntry(2)});
     scene.Arrive(1, kAnyRead);
     scene.EndAttempt(1, 2, Status::kOverloaded);
     Micros waited = 0;
@@ -59,8 +60,8 @@
 // Too many for a whole group: a share of its reads is rejected at once, so that the others are in time; when
 // answers are in time again, so is every read.
 TEST(Overload, AGroupThatIsLateGetsAShareOfItsReads) {
-  Scene scene;
-  Settle(scene);
+  RouterHarness scene;
+  ReportPositions(scene);
   const auto run = [&](RequestId from, Micros takes) {
     int sent = 0;
     for (RequestId id = from; id < from + 200; ++id) {
@@ -84,7 +85,7 @@
 TEST(Overload, AQueueThatLeavesNoTimeIsPassedOver) {
   Settings s = TestSettings();
   s.report_fields = {"x0", "x1", "queue", "inflight"};
-  Scene scene(s);
+  RouterHarness scene(s);
   const auto report = [&](ServerId id, float queue) {
     HealthCheckEnded e;
     e.server = id;
@@ -99,7 +100,7 @@
   scene.EndAttempt(1, 3, Status::kOk, Role::kReplica, {}, -1, true, 390 * kMs);
   for (RequestId id = 10; id < 20; ++id) {
     scene.Advance(kSecond);
-    const auto probes = Only<CheckHealth>(scene.Arrive(id, kAnyRead));
+    const auto probes = ActionsOfType<CheckHealth>(scene.Arrive(id, kAnyRead));
     if (probes.empty()) continue;  // one of the few rejected for lateness
     auto sent = SentTo(report(probes.front().server, probes.front().server == 2 ? 40.0F : 0.0F), id);
     if (probes.front().server == 2) sent = SentTo(report(3, 0), id);
@@ -111,10 +112,10 @@
 // A bounded read that is shed for overload keeps off the primary where no replica showed its bound of late.
 TEST(Overload, ShedBoundedReadsStayOffThePrimaryWhileAllReplicasLag) {
   for (const bool lag : {false, true}) {
-    Scene scene;
+    RouterHarness scene;
     int on_primary = 0;
     for (RequestId id = 1; id <= 400; ++id) {
-      if (id % 20 == 1) Settle(scene, lag ? 5 * kSecond : 0, lag ? 5 * kSecond : 0);
+      if (id % 20 == 1) ReportPositions(scene, lag ? 5 * kSecond : 0, lag ? 5 * kSecond : 0);
       const bool bounded = id > 100;
       const auto to = SentTo(scene.Arrive(id, bounded ? kBoundedRead : kAnyRead), id);
       on_primary += bounded && to == 1u;
@@ -135,10 +136,10 @@
   int served = 0, after_slow = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     for (const bool slow : {false, true}) {
-      Scene scene(s, seed);
-      Settle(scene, 5 * kSecond, 5 * kSecond);
+      RouterHarness scene(s, seed);
+      ReportPositions(scene, 5 * kSecond, 5 * kSecond);
       for (RequestId id = 100; slow && id < 120; ++id) {
-        scene.Arrive(id, kUnsafeWrite);
+        scene.Arrive(id, kNonIdempotentWrite);
         scene.EndAttempt(id, 1, Status::kOk, Role::kPrimary, scene.now_ms(), -1, true, 390 * kMs);
       }
       const auto first = SentTo(scene.Arrive(1, kBoundedRead), 1);
--- a/tests/policy/policy_fixture.hpp
+++ b/tests/policy/policy_fixture.hpp
@@ -9,7 +9,7 @@
 #include "src/endpoints/endpoint_table.hpp"
 #include "src/endpoints/health_checks.hpp"
 #include "src/requests/request.hpp"
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke::policy {
 
@@ -20,7 +20,8 @@
  protected:
   PolicyTest() {
     endpoints::EventScope scope{kNow, actions_};
-    table_.Apply({EndpointListKind::kCached, 1, {Ready(1, true), Ready(2), Ready(3)}}, checks_, scope);
+    table_.Apply({EndpointListKind::kCached, 1, {ReadyEntry(1, true), ReadyEntry(2), ReadyEntry(3)}}, checks_,
+                 scope);
   }
   static requests::Request ReadOf(int class_index) {
     return {.id = 1, .class_index = class_index, .arrived = kNow, .deadline = kNow + kSecond};
--- a/tests/policy/read_freshness_test.cpp
+++ b/tests/policy/read_freshness_test.cpp
@@ -4,40 +4,41 @@
 #include <limits>
 #include <vector>
 
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke {
 namespace {
 
 TEST(ReadFreshness, ANewRouterChecksReplicasAndParksBoundedReads) {
-  Scene scene;
+  RouterHarness scene;
   EXPECT_FALSE(SentTo(scene.Arrive(1, kBoundedRead), 1));
   const auto shown = scene.ReportHealthCheck(2, 100 * kMs);
   EXPECT_EQ(SentTo(shown, 1), 2u);
 }
 
 TEST(ReadFreshness, WithoutGuardsAReadIsParkedUntilThePositionIsSeen) {
-  Scene scene;
-  Settle(scene, 600 * kMs, 700 * kMs);
+  RouterHarness scene;
+  ReportPositions(scene, 600 * kMs, 700 * kMs);
   const auto held = scene.Arrive(1, kBoundedRead);
   EXPECT_FALSE(SentTo(held, 1));
-  EXPECT_EQ(Only<CheckHealth>(held).size(), 1u);      // one health check, of the replica it waits on
-  EXPECT_FALSE(SentTo(scene.Advance(150 * kMs), 1));  // prediction alone is not enough
+  EXPECT_EQ(ActionsOfType<CheckHealth>(held).size(), 1u);  // one health check, of the replica it waits on
+  EXPECT_FALSE(SentTo(scene.Advance(150 * kMs), 1));       // prediction alone is not enough
   EXPECT_EQ(SentTo(scene.ReportHealthCheck(2, 50 * kMs), 1), 2u);
 }
 
 TEST(ReadFreshness, OneHealthCheckServesAllParkedReads) {
-  Scene scene;
-  Settle(scene, 600 * kMs, 5 * kSecond);
+  RouterHarness scene;
+  ReportPositions(scene, 600 * kMs, 5 * kSecond);
   std::size_t probes = 0;
-  for (RequestId id = 1; id <= 5; ++id) probes += Only<CheckHealth>(scene.Arrive(id, kBoundedRead)).size();
+  for (RequestId id = 1; id <= 5; ++id)
+    probes += ActionsOfType<CheckHealth>(scene.Arrive(id, kBoundedRead)).size();
   EXPECT_EQ(probes, 1u);
-  EXPECT_EQ(Only<Send>(scene.ReportHealthCheck(2, 0)).size(), 5u);
+  EXPECT_EQ(ActionsOfType<Send>(scene.ReportHealthCheck(2, 0)).size(), 5u);
 }
 
 TEST(ReadFreshness, WaitingGuardsAreSentReadsWithinTheirWait) {
-  Scene scene(WaitingSettings());
-  Settle(scene, 530 * kMs, 900 * kMs);
+  RouterHarness scene(WaitingGuardSettings());
+  ReportPositions(scene, 530 * kMs, 900 * kMs);
   EXPECT_EQ(SentTo(scene.Arrive(1, kBoundedRead), 1), 2u);
 }
 
@@ -45,18 +46,18 @@
 TEST(ReadFreshness, RejectingGuardsAreSentOneReadAtATimeOnPrediction) {
   Settings s = TestSettings();
   s.staleness_guard = StalenessGuard::kReject;
-  s.token_mode = TokenMode::kCarried;
-  Scene scene(s);
-  Settle(scene, 520 * kMs, 3 * kSecond);
-  EXPECT_FALSE(SentTo(ArriveCarrying(scene, 1, 500), 1));
+  s.token_mode = TokenMode::kSentByClient;
+  RouterHarness scene(s);
+  ReportPositions(scene, 520 * kMs, 3 * kSecond);
+  EXPECT_FALSE(SentTo(ArriveWithToken(scene, 1, 500), 1));
   scene.Advance(30 * kMs);  // the prediction has run out, though nothing new was shown
-  EXPECT_EQ(SentTo(ArriveCarrying(scene, 2, 530), 2), 2u);
-  EXPECT_FALSE(SentTo(ArriveCarrying(scene, 3, 530), 3));
+  EXPECT_EQ(SentTo(ArriveWithToken(scene, 2, 530), 2), 2u);
+  EXPECT_FALSE(SentTo(ArriveWithToken(scene, 3, 530), 3));
 }
 
 TEST(ReadFreshness, SessionNeedsItsOwnWrite) {
-  Scene scene;
-  Settle(scene);
+  RouterHarness scene;
+  ReportPositions(scene);
   scene.Arrive(1, kKeyedWrite, 77);
   scene.Advance(20 * kMs);
   scene.EndAttempt(1, 1, Status::kOk, Role::kPrimary, scene.now_ms());
@@ -76,8 +77,8 @@
 
 // A write may go through after its request has ended here; its session must see it all the same.
 TEST(ReadFreshness, CommitOfAnEndedRequestCounts) {
-  Scene scene;
-  Settle(scene);
+  RouterHarness scene;
+  ReportPositions(scene);
   scene.Arrive(1, kKeyedWrite, 77);
   scene.Handle(RequestCancelled{1});
   scene.Advance(20 * kMs);
@@ -87,17 +88,17 @@
 
 TEST(ReadFreshness, CarriedTokenRoundsTheCommitUp) {
   Settings s = TestSettings();
-  s.token_mode = TokenMode::kCarried;
-  Scene scene(s);
-  Settle(scene, 100 * kMs, 100 * kMs);
-  EXPECT_FALSE(SentTo(ArriveCarrying(scene, 1, 100),
+  s.token_mode = TokenMode::kSentByClient;
+  RouterHarness scene(s);
+  ReportPositions(scene, 100 * kMs, 100 * kMs);
+  EXPECT_FALSE(SentTo(ArriveWithToken(scene, 1, 100),
                       1));  // exactly as old as shown: the float could have been rounded
-  EXPECT_TRUE(SentTo(ArriveCarrying(scene, 2, 101), 2));
+  EXPECT_TRUE(SentTo(ArriveWithToken(scene, 2, 101), 2));
 }
 
 TEST(ReadFreshness, ImpossiblePositionsAreIgnored) {
   for (const float x0 : {1e30F, -5.0F, 0.0F, std::numeric_limits<float>::quiet_NaN(), 101.0F}) {
-    Scene scene;
+    RouterHarness scene;
     HealthCheckEnded e;
     e.server = 2;
     e.report = {x0, 0.0F};
@@ -108,9 +109,9 @@
 
 // A rate seen at zero must not keep a replica from being tried for ever.
 TEST(ReadFreshness, ARateNotConfirmedFadesToOne) {
-  Scene scene(WaitingSettings());
-  scene.UpdateList(EndpointListKind::kFull, {Ready(1, true), Ready(2)});
-  Settle(scene);
+  RouterHarness scene(WaitingGuardSettings());
+  scene.UpdateList(EndpointListKind::kFull, {ReadyEntry(1, true), ReadyEntry(2)});
+  ReportPositions(scene);
   const auto to = SentTo(scene.Arrive(1, kAnyRead), 1);
   scene.Advance(100 * kMs);
   scene.EndAttempt(1, *to, Status::kOk, Role::kReplica, scene.now_ms() - 100);  // stands still
--- a/tests/policy/replica_choice_test.cpp
+++ b/tests/policy/replica_choice_test.cpp
@@ -4,13 +4,13 @@
 #include <map>
 #include <set>
 
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke {
 namespace {
 
 TEST(ReplicaSelection, AnyReadSpreadsOverReplicasAtOnce) {
-  Scene scene;
+  RouterHarness scene;
   const auto first = SentTo(scene.Arrive(1, kAnyRead), 1);
   const auto second = SentTo(scene.Arrive(2, kAnyRead), 2);
   ASSERT_TRUE(first && second);
@@ -20,8 +20,8 @@
 TEST(ReplicaSelection, TiesAreDrawnFromTheSeed) {
   std::set<ServerId> seen;
   for (std::uint64_t seed = 0; seed < 16; ++seed) {
-    Scene a(TestSettings(), seed);
-    Scene b(TestSettings(), seed);
+    RouterHarness a(TestSettings(), seed);
+    RouterHarness b(TestSettings(), seed);
     const auto sent = SentTo(a.Arrive(1, kAnyRead), 1);
     EXPECT_EQ(sent, SentTo(b.Arrive(1, kAnyRead), 1));
     seen.insert(sent.value_or(0));
@@ -33,8 +33,8 @@
 TEST(ReplicaSelection, ManyRoutersWithTheSameEvidenceSpread) {
   std::map<ServerId, int> picked;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-    Scene scene(TestSettings(), seed);
-    Settle(scene, 100 * kMs, 100 * kMs);
+    RouterHarness scene(TestSettings(), seed);
+    ReportPositions(scene, 100 * kMs, 100 * kMs);
     ++picked[SentTo(scene.Arrive(1, kBoundedRead), 1).value_or(0)];
   }
   EXPECT_GE(picked[2], 30);
@@ -43,14 +43,14 @@
 
 // A position shown long ago has moved on: the time since then counts off the predicted wait.
 TEST(ReplicaSelection, AnOldPositionIsNotTakenForAWait) {
-  Scene scene(WaitingSettings());
-  Settle(scene, 10 * kMs, 10 * kMs);
+  RouterHarness scene(WaitingGuardSettings());
+  ReportPositions(scene, 10 * kMs, 10 * kMs);
   scene.Advance(10 * kSecond);
   EXPECT_TRUE(SentTo(scene.Arrive(1, kBoundedRead), 1));
 }
 
 TEST(ReplicaSelection, RemainingWorkFallsWithTimeSpent) {
-  Scene scene;
+  RouterHarness scene;
   const auto first = *SentTo(scene.Arrive(1, kAnyRead), 1);
   scene.Advance(90 * kMs);  // first guess is 100 ms: 10 ms of it remain
   const auto second = *SentTo(scene.Arrive(2, kAnyRead), 2);
@@ -59,14 +59,14 @@
 }
 
 TEST(ReplicaSelection, PredictedWaitOutweighsALittleLoad) {
-  Scene scene;
-  Settle(scene, 0, 900 * kMs);  // 3 is 400 ms short of the bound of 500 ms
+  RouterHarness scene;
+  ReportPositions(scene, 0, 900 * kMs);  // 3 is 400 ms short of the bound of 500 ms
   EXPECT_EQ(SentTo(scene.Arrive(1, kBoundedRead), 1), 2u);
   EXPECT_EQ(SentTo(scene.Arrive(2, kBoundedRead), 2), 2u);
 }
 
 TEST(ReplicaSelection, SlowServerIsAvoidedAndForgivenInTime) {
-  Scene scene;
+  RouterHarness scene;
   for (RequestId id = 1; id <= 40; ++id) {
     const auto to = *SentTo(scene.Arrive(id, kAnyRead), id);
     scene.Advance(kMs);
@@ -82,8 +82,8 @@
 // A long query can hold up the applying where it runs: reads that need no position leave the fresh replicas
 // to those that do, as long as the stale one is quick enough.
 TEST(ReplicaSelection, ReadsThatNeedNoPositionGoToTheStaleReplicaWithinTheirObjective) {
-  Scene scene;
-  Settle(scene, 0, 900 * kMs);
+  RouterHarness scene;
+  ReportPositions(scene, 0, 900 * kMs);
   EXPECT_EQ(SentTo(scene.Arrive(1, kAnyRead), 1), 3u);
   EXPECT_EQ(SentTo(scene.Arrive(2, kAnyRead), 2), 3u);
   EXPECT_EQ(SentTo(scene.Arrive(3, kAnyRead), 3), 2u);  // more would cost it half its objective
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke::policy {
 namespace {
@@ -27,7 +27,7 @@
 
 TEST_F(RetryPolicyTest, WhatMayHaveRunIsRepeatedByItsClass) {
   EXPECT_TRUE(policy_.MayAttempt(FailedRequestOf(kAnyRead), now_));
-  EXPECT_FALSE(policy_.MayAttempt(FailedRequestOf(kUnsafeWrite), now_));
+  EXPECT_FALSE(policy_.MayAttempt(FailedRequestOf(kNonIdempotentWrite), now_));
   const Request keyed = FailedRequestOf(kKeyedWrite);
   EXPECT_TRUE(policy_.MayAttempt(keyed, now_));
   EXPECT_FALSE(policy_.MayAttempt(keyed, now_ + 598 * kMs));  // the window, less two ticks of the clock
@@ -36,7 +36,7 @@
 TEST_F(RetryPolicyTest, WhatNeverRanIsRepeatedInAnyClass) {
   for (const Status status :
        {Status::kOverloaded, Status::kConnectFailed, Status::kNotSent, Status::kStaleOrWrongRole}) {
-    Request request = RequestOf(kUnsafeWrite);
+    Request request = RequestOf(kNonIdempotentWrite);
     policy_.NoteFailure(request, status, now_);
     EXPECT_TRUE(policy_.MayAttempt(request, now_));
     EXPECT_TRUE(policy_.MayReject(request));
@@ -54,8 +54,8 @@
 TEST_F(RetryPolicyTest, OnlyWhatIsHarmlessToRepeatIsRejected) {
   EXPECT_TRUE(policy_.MayReject(FailedRequestOf(kAnyRead)));
   EXPECT_FALSE(policy_.MayReject(FailedRequestOf(kKeyedWrite)));  // other routers do not know its key
-  EXPECT_FALSE(policy_.MayReject(FailedRequestOf(kUnsafeWrite)));
-  Request in_flight = RequestOf(kUnsafeWrite);
+  EXPECT_FALSE(policy_.MayReject(FailedRequestOf(kNonIdempotentWrite)));
+  Request in_flight = RequestOf(kNonIdempotentWrite);
   EXPECT_TRUE(policy_.MayReject(in_flight));
   in_flight.in_flight = 1;
   EXPECT_FALSE(policy_.MayReject(in_flight));
--- a/tests/policy/retry_test.cpp
+++ b/tests/policy/retry_test.cpp
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke {
 namespace {
@@ -18,8 +18,8 @@
 
 TEST_P(RetryAfterTest, RetriesAndRejectsOnlyWhatMayBe) {
   const RetryCase& c = GetParam();
-  Scene scene;
-  Settle(scene);
+  RouterHarness scene;
+  ReportPositions(scene);
   const auto to = *SentTo(scene.Arrive(1, c.class_index), 1);
   scene.Advance(5 * kMs);
   std::vector<Action> actions = scene.EndAttempt(1, to, c.status);
@@ -41,16 +41,16 @@
                                          RetryCase{kKeyedWrite, Status::kConnectFailed, true, true},
                                          RetryCase{kKeyedWrite, Status::kReset, true, false},
                                          RetryCase{kKeyedWrite, Status::kError, true, false},
-                                         RetryCase{kUnsafeWrite, Status::kOverloaded, true, true},
-                                         RetryCase{kUnsafeWrite, Status::kConnectFailed, true, true},
-                                         RetryCase{kUnsafeWrite, Status::kReset, false, false},
-                                         RetryCase{kUnsafeWrite, Status::kError, false, false},
-                                         RetryCase{kUnsafeWrite, Status::kTimeout, false, false},
-                                         RetryCase{kUnsafeWrite, Status::kCancelled, false, false}));
+                                         RetryCase{kNonIdempotentWrite, Status::kOverloaded, true, true},
+                                         RetryCase{kNonIdempotentWrite, Status::kConnectFailed, true, true},
+                                         RetryCase{kNonIdempotentWrite, Status::kReset, false, false},
+                                         RetryCase{kNonIdempotentWrite, Status::kError, false, false},
+                                         RetryCase{kNonIdempotentWrite, Status::kTimeout, false, false},
+                                         RetryCase{kNonIdempotentWrite, Status::kCancelled, false, false}));
 
 TEST(Retry, AKeyedWriteIsNotRetriedAfterItsWindow) {
-  Scene scene;
-  Settle(scene);
+  RouterHarness scene;
+  ReportPositions(scene);
   scene.Arrive(1, kKeyedWrite);
   scene.Advance(650 * kMs);  // the window is 600 ms from the first send
   const auto actions = scene.EndAttempt(1, 1, Status::kReset);
@@ -59,17 +59,17 @@
 }
 
 TEST(Retry, AnAttemptThatWasNotSentInTimeEndsTheRequest) {
-  Scene scene;
+  RouterHarness scene;
   const auto to = *SentTo(scene.Arrive(1, kAnyRead), 1);
   EXPECT_TRUE(HasReject(scene.EndAttempt(1, to, Status::kNotSent), 1));
 }
 
 TEST(Retry, EveryRequestIsAnsweredOnceByItsOwnDeadline) {
-  Scene scene;
+  RouterHarness scene;
   scene.Arrive(1, kAnyRead, 0, 300 * kMs);  // shorter than the class's deadline
   const auto actions = scene.Advance(310 * kMs);
-  EXPECT_EQ(Only<Reject>(actions).size() + Only<Fail>(actions).size(), 1u);
-  EXPECT_TRUE(Only<Reject>(scene.Advance(kSecond)).empty());
+  EXPECT_EQ(ActionsOfType<Reject>(actions).size() + ActionsOfType<Fail>(actions).size(), 1u);
+  EXPECT_TRUE(ActionsOfType<Reject>(scene.Advance(kSecond)).empty());
 }
 
 }  // namespace
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -3,14 +3,14 @@
 
 #include <vector>
 
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke {
 namespace {
 
 TEST(UnusualEvents, UnknownIdsAndClassesAreHandled) {
-  Scene scene;
-  EXPECT_TRUE(Only<Send>(scene.EndAttempt(99, 1, Status::kReset, Role::kUnknown, {}, 0)).empty());
+  RouterHarness scene;
+  EXPECT_TRUE(ActionsOfType<Send>(scene.EndAttempt(99, 1, Status::kReset, Role::kUnknown, {}, 0)).empty());
   scene.EndAttempt(99, 12345, Status::kOk, Role::kPrimary, 5, 0);
   scene.Handle(RequestCancelled{99});
   scene.Handle(TimerFired{99});
--- a/tests/policy/session_sync_test.cpp
+++ b/tests/policy/session_sync_test.cpp
@@ -1,15 +1,15 @@
 // The Router beside other processes of the same router: sessions whose writes are told to it.
 #include <gtest/gtest.h>
 
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke {
 namespace {
 
 // Guards against a stale read while the writes of sessions are not known, or never will be.
 TEST(SessionSync, UnknownSessionsReadThePresent) {
-  Scene scene;
-  Settle(scene, 30 * kMs, 30 * kMs);
+  RouterHarness scene;
+  ReportPositions(scene, 30 * kMs, 30 * kMs);
   scene.Handle(SessionSync{.complete = false});
   EXPECT_FALSE(SentTo(scene.Arrive(1, kSessionRead, 77), 1));
   scene.Handle(SessionSync{.complete = true});
@@ -21,8 +21,8 @@
 
 // Guards against a write of a session, or of all that are not named, that the other process told in vain.
 TEST(SessionSync, WritesOfAnotherProcessBindReads) {
-  Scene scene;
-  Settle(scene, 30 * kMs, 30 * kMs);
+  RouterHarness scene;
+  ReportPositions(scene, 30 * kMs, 30 * kMs);
   const std::int64_t present = scene.now_ms();
   scene.Handle(SessionCommit{77, 0, present - 10});
   EXPECT_FALSE(SentTo(scene.Arrive(1, kSessionRead, 77), 1));
--- a/tests/policy/slow_start_routing_test.cpp
+++ b/tests/policy/slow_start_routing_test.cpp
@@ -4,14 +4,14 @@
 #include <map>
 #include <optional>
 
-#include "tests/scene.hpp"
+#include "tests/router_harness.hpp"
 
 namespace tulipyoke {
 namespace {
 
 TEST(SlowStart, ANewServerGetsOneRequestUntilMoreIsKnown) {
-  Scene scene;
-  EndpointEntry e = Ready(4);
+  RouterHarness scene;
+  EndpointEntry e = ReadyEntry(4);
   e.boot_time = scene.now() - 100 * kMs;
   scene.UpdateList(EndpointListKind::kDelta, {e});
   int to_new = 0;
@@ -26,8 +26,8 @@
   s.router_count = 200;
   int to_new = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-    Scene scene(s, seed);
-    EndpointEntry e = Ready(4);
+    RouterHarness scene(s, seed);
+    EndpointEntry e = ReadyEntry(4);
     e.boot_time = scene.now() - 100 * kMs;
     scene.UpdateList(EndpointListKind::kDelta, {e});
     for (RequestId id = 1; id <= 20; ++id) to_new += SentTo(scene.Arrive(id, kAnyRead), id) == 4u;
@@ -38,7 +38,7 @@
 // Guards against refusing most reads while every replica is new: their warm share is known from before, and
 // from the first seconds on.
 TEST(SlowStart, ServersThatWarmUpServeWhenNoWarmOneIsLeft) {
-  Scene s;
+  RouterHarness s;
   RequestId id = 0;
   const auto served = [&](Micros span) {
     int sends = 0;
@@ -51,7 +51,7 @@
     return sends;
   };
   EXPECT_GE(served(3 * kSecond), 145);
-  EndpointEntry second = Ready(2), third = Ready(3);
+  EndpointEntry second = ReadyEntry(2), third = ReadyEntry(3);
   second.boot_time = third.boot_time = s.now();
   s.UpdateList(EndpointListKind::kDelta, {second, third});
   const int sends = served(kSecond);
@@ -62,7 +62,7 @@
 // Guards against servers that warm up that are starved because the only warm one left fails or is overloaded:
 // what warm ones finished before the others left is what they can do.
 TEST(SlowStart, AFailingServerSaysNothingOfWhatOthersCanDo) {
-  Scene s;
+  RouterHarness s;
   RequestId id = 0;
   std::map<ServerId, int> sent;
   const auto serve = [&](Micros span) {
@@ -79,7 +79,7 @@
   };
   serve(5 * kSecond);
   ASSERT_GT(sent[2], 200);
-  EndpointEntry leaves = Ready(2), joins = Ready(4);
+  EndpointEntry leaves = ReadyEntry(2), joins = ReadyEntry(4);
   leaves.state = ServerState::kDraining;
   joins.boot_time = s.now();
   s.UpdateList(EndpointListKind::kDelta, {leaves, joins});
--- a/tests/scene.hpp
+++ b/tests/router_harness.hpp
@@ -1,6 +1,6 @@
 // A Router with a scripted world around it: events in, actions out.
-#ifndef TULIPYOKE_TESTS_SCENE_HPP_
-#define TULIPYOKE_TESTS_SCENE_HPP_
+#ifndef TULIPYOKE_TESTS_ROUTER_HARNESS_HPP_
+#define TULIPYOKE_TESTS_ROUTER_HARNESS_HPP_
 
 #include <algorithm>
 #include <map>
@@ -14,7 +14,7 @@
 
 inline constexpr Micros kMs = 1000;
 inline constexpr Micros kSecond = 1000 * kMs;
-enum TestClass { kAnyRead, kBoundedRead, kSessionRead, kFreshRead, kKeyedWrite, kUnsafeWrite };
+enum TestClass { kAnyRead, kBoundedRead, kSessionRead, kFreshRead, kKeyedWrite, kNonIdempotentWrite };
 
 inline Settings TestSettings() {
   Settings s;
@@ -56,7 +56,7 @@
   return s;
 }
 
-inline EndpointEntry Ready(ServerId id, bool leads = false, int group = 0) {
+inline EndpointEntry ReadyEntry(ServerId id, bool leads = false, int group = 0) {
   EndpointEntry e;
   e.server = id;
   e.group = group;
@@ -65,12 +65,12 @@
   return e;
 }
 
-class Scene {
+class RouterHarness {
  public:
   // Server 1 leads; 2 and 3 follow.
-  explicit Scene(Settings settings = TestSettings(), std::uint64_t seed = 1)
+  explicit RouterHarness(Settings settings = TestSettings(), std::uint64_t seed = 1)
       : router_(settings, seed), now_(100 * kSecond) {
-    UpdateList(EndpointListKind::kCached, {Ready(1, true), Ready(2), Ready(3)});
+    UpdateList(EndpointListKind::kCached, {ReadyEntry(1, true), ReadyEntry(2), ReadyEntry(3)});
   }
 
   std::vector<Action> Handle(const Event& event) {
@@ -150,7 +150,7 @@
 };
 
 template <typename T>
-std::vector<T> Only(const std::vector<Action>& actions) {
+std::vector<T> ActionsOfType(const std::vector<Action>& actions) {
   std::vector<T> found;
   for (const Action& a : actions) {
     if (const auto* t = std::get_if<T>(&a)) found.push_back(*t);
@@ -160,14 +160,14 @@
 
 // Where the request was sent by these actions; none: it was not.
 inline std::optional<ServerId> SentTo(const std::vector<Action>& actions, RequestId id) {
-  for (const Send& s : Only<Send>(actions)) {
+  for (const Send& s : ActionsOfType<Send>(actions)) {
     if (s.id == id) return s.server;
   }
   return std::nullopt;
 }
 
 // Replicas 2 and 3 show positions that are so far behind, and server 1 that it is the primary.
-inline void Settle(Scene& scene, Micros lag2 = 0, Micros lag3 = 0) {
+inline void ReportPositions(RouterHarness& scene, Micros lag2 = 0, Micros lag3 = 0) {
   scene.Advance(80 * kMs);  // health checks are due again then
   scene.ReportHealthCheck(1, 0, true);
   scene.ReportHealthCheck(2, lag2);
@@ -175,7 +175,7 @@
 }
 
 // Settings where servers hold a read until they have applied its position.
-inline Settings WaitingSettings() {
+inline Settings WaitingGuardSettings() {
   Settings s = TestSettings();
   s.staleness_guard = StalenessGuard::kWait;
   s.catch_up_wait = 50 * kMs;
@@ -183,17 +183,17 @@
 }
 
 inline bool HasReject(const std::vector<Action>& actions, RequestId id) {
-  const auto rejections = Only<Reject>(actions);
+  const auto rejections = ActionsOfType<Reject>(actions);
   return std::any_of(rejections.begin(), rejections.end(), [&](const Reject& r) { return r.id == id; });
 }
 
 inline bool HasFail(const std::vector<Action>& actions, RequestId id) {
-  const auto failures = Only<Fail>(actions);
+  const auto failures = ActionsOfType<Fail>(actions);
   return std::any_of(failures.begin(), failures.end(), [&](const Fail& f) { return f.id == id; });
 }
 
 // A session read that carries how long ago its session wrote.
-inline std::vector<Action> ArriveCarrying(Scene& scene, RequestId id, double ms_since_write) {
+inline std::vector<Action> ArriveWithToken(RouterHarness& scene, RequestId id, double ms_since_write) {
   RequestArrived e;
   e.id = id;
   e.class_index = kSessionRead;
@@ -204,4 +204,4 @@
 
 }  // namespace tulipyoke
 
-#endif  // TULIPYOKE_TESTS_SCENE_HPP_
+#endif  // TULIPYOKE_TESTS_ROUTER_HARNESS_HPP_
