--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -14,7 +14,7 @@
   return c.priority_weight * (late ? c.late_weight : 1);
 }
 
-bool Admission::Sheds(Request& read, Micros now) {
+bool Admission::ShouldShed(Request& read, Micros now) {
   if (!read.admission_decided) {
     limits::AdmissionControl& control = table_.GroupAt(read.group).admission;
     read.shed = control.Rejects(now, context_.scales.fade_span, read.priority, context_.random.Fraction());
@@ -23,14 +23,14 @@
   return read.shed;
 }
 
-bool Admission::GrantsHeadroom(const Request& read, Micros now) {
+bool Admission::MayUseHeadroom(const Request& read, Micros now) {
   const endpoints::Group& group = table_.GroupAt(read.group);
-  if (read.queue_checks > 0 && read.queue_checked == group.primary) return true;
+  if (read.queue_checks > 0 && read.queue_check_server == group.primary) return true;
   const double share = group.headroom.Share(now, context_.scales.fade_span, context_.settings.router_count);
   return context_.random.Fraction() < share;
 }
 
-bool Admission::ReplicaWithinBound(const Request& read, Micros now) const {
+bool Admission::HasReplicaWithinBound(const Request& read, Micros now) const {
   const endpoints::Group& group = table_.GroupAt(read.group);
   const Micros bound = context_.ClassOf(read.class_index).staleness_bound;
   const Micros oldest = context_.PositionAt(now - context_.scales.longest_deadline) - bound;
@@ -39,7 +39,7 @@
   });
 }
 
-bool Admission::IsCalm(int group, Micros now) const {
+bool Admission::AdmitsAllReads(int group, Micros now) const {
   return table_.GroupAt(group).admission.AdmittedShare(now, context_.scales.fade_span) >= 1;
 }
 
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -1,4 +1,4 @@
-// Which reads are shed under overload, and which of these the primary serves in its spare capacity.
+// Decides which reads to shed under overload and which of those the primary's spare capacity may serve.
 #ifndef TULIPYOKE_SRC_POLICY_ADMISSION_HPP_
 #define TULIPYOKE_SRC_POLICY_ADMISSION_HPP_
 
@@ -16,22 +16,23 @@
  public:
   Admission(endpoints::RoutingContext& context, endpoints::EndpointTable& table);
 
-  // The worth of an answer to a request that has just arrived; less where it is a late retry.
+  // The priority of a request that has just arrived. A late retry gets a lower one.
   double PriorityOf(int class_index, Micros client_timeout);
-  // Whether to shed a read; decided once for each.
-  bool Sheds(Request& read, Micros now);
-  // Whether the primary's headroom is to serve a read; drawn, unless it was for this read before.
-  bool GrantsHeadroom(const Request& read, Micros now);
-  // Whether a replica showed the position that a bounded read needs within a deadline: the read is shed for
-  // overload then, not for lag.
-  bool ReplicaWithinBound(const Request& read, Micros now) const;
-  // Whether answers of the group were in time of late.
-  bool IsCalm(int group, Micros now) const;
+  // Whether to shed a read. The decision is made once per read.
+  bool ShouldShed(Request& read, Micros now);
+  // Whether the read may use the primary's headroom. The decision is random, except that a read which has
+  // checked the primary's queue may use it.
+  bool MayUseHeadroom(const Request& read, Micros now);
+  // Whether a replica has been observed within the staleness bound of a bounded read, allowing for the
+  // longest deadline. If so, the read was shed because of overload and not because of lag.
+  bool HasReplicaWithinBound(const Request& read, Micros now) const;
+  // Whether the group admits all reads, so its recent responses were in time.
+  bool AdmitsAllReads(int group, Micros now) const;
 
  private:
   endpoints::RoutingContext& context_;
   endpoints::EndpointTable& table_;
-  std::vector<limits::RetryDetector> retry_detectors_;  // by class
+  std::vector<limits::RetryDetector> retry_detectors_;  // indexed by class
 };
 
 }  // namespace tulipyoke::policy
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -5,14 +5,14 @@
 namespace tulipyoke::policy {
 namespace {
 
-// The share of failing attempts from which on a reset ejects the server. Some networks and answers fail at
-// all servers alike, and to eject each for it would leave too few.
-constexpr double kEjectedFailureShare = 0.5;
+// From this share of failing attempts on, a reset ejects the server. Some networks and requests fail on all
+// servers alike, and ejecting each server for a single failure would leave too few.
+constexpr double kEjectionFailureShare = 0.5;
 
-bool IsFault(Status status) { return status == Status::kError || status == Status::kReset; }
+bool IsServerFailure(Status status) { return status == Status::kError || status == Status::kReset; }
 
-// Whether the server itself answered, so that it is alive.
-bool IsAnswer(Status status) {
+// Whether the server itself responded, which shows that its process is running.
+bool ServerResponded(Status status) {
   return status == Status::kOk || status == Status::kStaleOrWrongRole || status == Status::kError;
 }
 
@@ -21,16 +21,17 @@
 void OutlierDetection::ObserveAttempt(endpoints::Server& server, const estimates::InFlightAttempt& attempt,
                                       const AttemptEnded& outcome, endpoints::EventScope& scope) {
   const Status status = outcome.status;
-  if (IsAnswer(status)) server.Answered(scope.now, context_.settings.overload_window);
-  // A refused connection may only mean that the server has all it takes: a check tells whether it is down.
+  if (ServerResponded(status)) server.Answered(scope.now, context_.settings.overload_window);
+  // A refused connection may only mean that the server has reached its connection limit; a health check tells
+  // whether it is down.
   if (status == Status::kConnectFailed) checks_.Request(server, 0, scope);
-  if (IsFault(status) || IsAnswer(status)) {
-    server.failures.Observe(scope.now, IsFault(status), context_.scales.longest_objective);
+  if (IsServerFailure(status) || ServerResponded(status)) {
+    server.failures.Observe(scope.now, IsServerFailure(status), context_.scales.longest_objective);
   }
   if (status == Status::kReset) {
-    // A process that died fails all that was in flight there, and the health check as well.
-    const double failing = server.FailureShare(scope.now, context_.scales);
-    if (failing >= kEjectedFailureShare) Eject(server, limits::OutlierSign::kUnreachable, scope);
+    // If the process has died, everything in flight there fails, and so does the health check.
+    const double failure_share = server.FailureShare(scope.now, context_.scales);
+    if (failure_share >= kEjectionFailureShare) Eject(server, limits::OutlierSign::kUnreachable, scope);
     checks_.Request(server, 0, scope);
   }
   const ClassSettings& c = context_.ClassOf(attempt.class_index);
--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -1,4 +1,4 @@
-// Outlier detection: which failures eject a server, and what reinstates it.
+// Ejects servers when their attempts or health checks fail, and records the responses that reinstate them.
 #ifndef TULIPYOKE_SRC_POLICY_OUTLIER_DETECTION_HPP_
 #define TULIPYOKE_SRC_POLICY_OUTLIER_DETECTION_HPP_
 
--- a/src/policy/replica_selector.cpp
+++ b/src/policy/replica_selector.cpp
@@ -11,15 +11,16 @@
 
 namespace {
 
-// A read that needs no position is served by a replica too stale for others within this share of its
-// objective.
-constexpr double kStaleObjectiveShare = 0.5;
-// What a new connection and another zone add to a server's time, as shares of the usual time.
-constexpr double kDistanceShare = 0.3;
-// A connection is likely to be open while so much of the last answer's weight is left.
-constexpr double kConnectedWeight = 0.4;
-// The largest share of failing attempts that is reckoned with.
-constexpr double kMostFailing = 0.95;
+// A read that needs no position may use a replica that is too stale for other reads if its expected time is
+// within this share of the latency objective.
+constexpr double kStaleReplicaObjectiveShare = 0.5;
+// Added to a server's expected time for a new connection and for another zone, as shares of the usual time.
+constexpr double kLocalityPenaltyShare = 0.3;
+// A connection is likely to be still open while the decayed weight of the server's last response exceeds
+// this.
+constexpr double kOpenConnectionWeight = 0.4;
+// Upper limit of the failure share, which keeps the expected number of attempts finite.
+constexpr double kMaxFailureShare = 0.95;
 
 }  // namespace
 
@@ -30,12 +31,12 @@
   return estimates::kNoPosition;
 }
 
-bool ReplicaSelector::IsUnobserved(const Server& server) const {
+bool ReplicaSelector::NeedsFreshnessCheck(const Server& server) const {
   return !server.position.known() && context_.settings.staleness_guard != StalenessGuard::kOff;
 }
 
 double ReplicaSelector::PredictedWait(const Server& server, Micros needed, Micros now) const {
-  if (needed == estimates::kNoPosition || IsUnobserved(server)) return 0;
+  if (needed == estimates::kNoPosition || NeedsFreshnessCheck(server)) return 0;
   return server.position.PredictedWait(needed, now, context_.scales.longest_objective);
 }
 
@@ -45,7 +46,7 @@
   if (guard == StalenessGuard::kOff) return false;
   const auto longest_wait = static_cast<double>(context_.settings.catch_up_wait);
   if (PredictedWait(server, needed, now) > longest_wait) return false;
-  if (guard == StalenessGuard::kWait && !IsUnobserved(server)) return true;
+  if (guard == StalenessGuard::kWait && !NeedsFreshnessCheck(server)) return true;
   return !server.in_flight.HasFreshnessCheck();
 }
 
@@ -57,7 +58,7 @@
 }
 
 bool ReplicaSelector::IsUsable(Server& server, const Request& read, Micros now) {
-  const auto& failed = read.failed_at;
+  const auto& failed = read.failed_servers;
   return std::find(failed.begin(), failed.end(), server.id) == failed.end() && Admits(server, read, now);
 }
 
@@ -66,34 +67,36 @@
   return server.queue.RemainingWork(now, context_.service_concurrency.value(), expected);
 }
 
-// Own work in flight, the own time as often as it takes until an attempt succeeds, and the wait for the
-// position.
-double ReplicaSelector::ExpectedOwnTime(const Server& server, const Request& read, Micros needed,
+// The sum of this router's work in flight there, the read's own time multiplied by the expected number of
+// attempts until one succeeds, and the wait for the position.
+double ReplicaSelector::ExpectedLatency(const Server& server, const Request& read, Micros needed,
                                         Micros now) const {
-  const double failing = std::min(server.FailureShare(now, context_.scales), kMostFailing);
-  const double attempts = 1 / (1 - failing);
-  const double own = attempts * context_.latency.Expected(server.slowness, read.class_index, now);
-  return context_.latency.RemainingWork(server.in_flight, server.slowness, now) + own +
+  const double failure_share = std::min(server.FailureShare(now, context_.scales), kMaxFailureShare);
+  const double attempts = 1 / (1 - failure_share);
+  const double service_time = attempts * context_.latency.Expected(server.slowness, read.class_index, now);
+  return context_.latency.RemainingWork(server.in_flight, server.slowness, now) + service_time +
          PredictedWait(server, needed, now);
 }
 
-// A router of hundreds so keeps to few servers, and knows these better.
-double ReplicaSelector::DistanceCost(const Server& server, int class_index, Micros now) const {
+// With this penalty, one of hundreds of routers uses only a few servers and has better estimates of them.
+double ReplicaSelector::LocalityPenalty(const Server& server, int class_index, Micros now) const {
   const Settings& settings = context_.settings;
-  const bool answered = server.last_answer != endpoints::kNever;
-  const bool connected =
-      answered && estimates::Decay(now - server.last_answer, context_.scales.fade_span) > kConnectedWeight;
-  const bool far = settings.cross_zone_cost > 0 && server.zone != settings.zone;
-  return kDistanceShare * context_.latency.Usual(class_index) * ((connected ? 0 : 1) + (far ? 1 : 0));
+  const bool responded = server.last_answer != endpoints::kNever;
+  const bool connected = responded && estimates::Decay(now - server.last_answer, context_.scales.fade_span) >
+                                          kOpenConnectionWeight;
+  const bool other_zone = settings.cross_zone_cost > 0 && server.zone != settings.zone;
+  return kLocalityPenaltyShare * context_.latency.Usual(class_index) *
+         ((connected ? 0 : 1) + (other_zone ? 1 : 0));
 }
 
-bool ReplicaSelector::IsStaleButQuick(const Server& server, const Request& read, double expected_time) const {
+bool ReplicaSelector::IsStaleButFast(const Server& server, const Request& read, double expected_time) const {
   const Micros lag = server.position.ObservedLag(context_.settings.position_epoch);
   const auto objective = static_cast<double>(context_.ClassOf(read.class_index).latency_objective);
-  return lag > context_.scales.tightest_staleness_bound && expected_time <= kStaleObjectiveShare * objective;
+  return lag > context_.scales.tightest_staleness_bound &&
+         expected_time <= kStaleReplicaObjectiveShare * objective;
 }
 
-void ReplicaSelector::Consider(Candidate& best, Server& server, double score) {
+void ReplicaSelector::UpdateBest(Candidate& best, Server& server, double score) {
   if (best.server && score == best.score) {
     if (context_.random.OneIn(++best.ties)) best.server = &server;
   } else if (!best.server || score < best.score) {
@@ -101,14 +104,15 @@
   }
 }
 
-// Fresh replicas are scarce once some lag, and a long read may hold up the applying where it runs. So a read
-// that needs no position goes where no other read could, while that is quick enough. That helps against
-// blocking queries, slow applying and old copies; it hurts where the stalest replica is the busiest.
-Server* ReplicaSelector::ChooseReplica(const Request& read, Micros last_useful, Micros now) {
+// Fresh replicas are scarce while others lag, and a long query can delay replication on the server that runs
+// it. So a read that needs no position goes to the stalest replica that other reads cannot use, as long as
+// that is fast enough. This helps with blocking queries, slow replication and old copies; it hurts if the
+// stalest replica is also the busiest.
+Server* ReplicaSelector::ChooseReplica(const Request& read, Micros latest_send_time, Micros now) {
   const Group& group = table_.GroupAt(read.group);
   const Micros needed = NeededPosition(read, now);
   const Micros epoch = context_.settings.position_epoch;
-  const auto time_left = static_cast<double>(last_useful - now);
+  const auto time_left = static_cast<double>(latest_send_time - now);
   Candidate best;
   Server* stalest = nullptr;
   for (const ServerId id : group.members) {
@@ -116,13 +120,14 @@
     if ((group.has_primary && group.primary == id) || !IsUsable(server, read, now)) continue;
     const bool needs_position = needed != estimates::kNoPosition;
     if (needs_position && !server.position.known() && !IsFreshEnough(server, needed, now)) continue;
-    // A queue that leaves no time: whether the server hangs or is overloaded, it does not answer in time.
+    // Skips a server whose queue leaves no time for the read: hung or overloaded, it would not respond in
+    // time.
     const double queued = QueuedWork(server, read.class_index, now);
     if (queued > 0 && queued > time_left) continue;
-    const double expected_time = ExpectedOwnTime(server, read, needed, now) + queued;
+    const double expected_time = ExpectedLatency(server, read, needed, now) + queued;
     const bool staler = !stalest || server.position.ObservedLag(epoch) > stalest->position.ObservedLag(epoch);
-    if (!needs_position && staler && IsStaleButQuick(server, read, expected_time)) stalest = &server;
-    Consider(best, server, expected_time + DistanceCost(server, read.class_index, now));
+    if (!needs_position && staler && IsStaleButFast(server, read, expected_time)) stalest = &server;
+    UpdateBest(best, server, expected_time + LocalityPenalty(server, read.class_index, now));
   }
   return stalest ? stalest : best.server;
 }
@@ -133,20 +138,21 @@
   return primary && Admits(*primary, request, now) ? primary : nullptr;
 }
 
-// Tried are members whose role was not seen for a latency objective, the one unseen for the longest first.
-Server* ReplicaSelector::GuessPrimary(const Request& write, Micros now) {
-  Server* guess = nullptr;
+// Considers the members whose role was not observed within the last latency objective, and picks the one
+// whose role observation is oldest.
+Server* ReplicaSelector::ChooseLikelyPrimary(const Request& write, Micros now) {
+  Server* candidate = nullptr;
   int ties = 0;
   for (const ServerId id : table_.GroupAt(write.group).members) {
     Server& server = table_.At(id);
-    const bool seen =
+    const bool recently_observed =
         server.role_time != endpoints::kNever && now - server.role_time < context_.scales.longest_objective;
-    if (seen || !Admits(server, write, now)) continue;
-    if (guess && server.role_time > guess->role_time) continue;
-    ties = guess && server.role_time == guess->role_time ? ties + 1 : 1;
-    if (context_.random.OneIn(ties)) guess = &server;
+    if (recently_observed || !Admits(server, write, now)) continue;
+    if (candidate && server.role_time > candidate->role_time) continue;
+    ties = candidate && server.role_time == candidate->role_time ? ties + 1 : 1;
+    if (context_.random.OneIn(ties)) candidate = &server;
   }
-  return guess;
+  return candidate;
 }
 
 bool ReplicaSelector::NoReplicaLeft(int group_number) const {
--- a/src/policy/replica_selector.hpp
+++ b/src/policy/replica_selector.hpp
@@ -1,4 +1,4 @@
-// Chooses the server for a request.
+// Selects the server for a request.
 #ifndef TULIPYOKE_SRC_POLICY_REPLICA_SELECTOR_HPP_
 #define TULIPYOKE_SRC_POLICY_REPLICA_SELECTOR_HPP_
 
@@ -16,27 +16,28 @@
   ReplicaSelector(endpoints::RoutingContext& context, endpoints::EndpointTable& table, SlowStart& slow_start)
       : context_(context), table_(table), slow_start_(slow_start) {}
 
-  // The replica with the lowest expected time; null where none may be sent the read. `last_useful`: when the
-  // read must have been sent.
-  endpoints::Server* ChooseReplica(const Request& read, Micros last_useful, Micros now);
-  // The group's primary, where it may be sent the request.
+  // The replica with the lowest expected time, or null if none can be used; a read that needs no position
+  // prefers a stale replica that is fast enough. The read must be sent by `latest_send_time`.
+  endpoints::Server* ChooseReplica(const Request& read, Micros latest_send_time, Micros now);
+  // The group's primary, or null if it cannot accept the request now.
   endpoints::Server* ChoosePrimary(const Request& request, Micros now);
-  // A member that may be the primary of a group of which none is known, for a write: a replica turns it away
-  // without running it and tells its role.
-  endpoints::Server* GuessPrimary(const Request& write, Micros now);
-  // Whether the server may be sent the read as far as health, capacity and earlier failures go.
+  // For a write to a group without a known primary: a member that may be the primary, or null. A replica
+  // rejects the write without executing it and reports its role.
+  endpoints::Server* ChooseLikelyPrimary(const Request& write, Micros now);
+  // Whether health, capacity and earlier failures allow sending the read to the server.
   bool IsUsable(endpoints::Server& server, const Request& read, Micros now);
-  // Whether no replica is left that could serve the group, not even later.
+  // Whether the group has no open replica that is not ejected.
   bool NoReplicaLeft(int group) const;
 
-  // The position that the request needs now.
+  // The position that a server must have applied to serve the request now.
   Micros NeededPosition(const Request& request, Micros now) const;
-  // Whether a read that needs the position may be sent now. Where the server itself checks positions, the
-  // prediction is enough; one read at a time goes ahead of what was shown.
+  // Whether a read that needs the position may be sent to the server now. If servers check positions
+  // themselves, a prediction suffices: with StalenessGuard::kReject, or while no position is known, for one
+  // read at a time.
   bool IsFreshEnough(const endpoints::Server& server, Micros needed, Micros now) const;
-  // The time until the server is expected to have the position, in microseconds.
+  // The expected time until the server has applied the position, in microseconds.
   double PredictedWait(const endpoints::Server& server, Micros needed, Micros now) const;
-  // What is left of the queue of other routers' requests that was reported, in microseconds.
+  // The remaining work of the reported queue of other routers' requests, in microseconds.
   double QueuedWork(const endpoints::Server& server, int class_index, Micros now) const;
 
  private:
@@ -46,15 +47,16 @@
     int ties = 0;
   };
   bool Admits(endpoints::Server& server, const Request& request, Micros now);
-  // May serve as its own freshness check: the server checks positions, and none of its own is known.
-  bool IsUnobserved(const endpoints::Server& server) const;
-  // Without the queue of others.
-  double ExpectedOwnTime(const endpoints::Server& server, const Request& read, Micros needed,
+  // Whether no position of the server is known and servers check positions, so that a read can serve as the
+  // freshness check.
+  bool NeedsFreshnessCheck(const endpoints::Server& server) const;
+  // The expected time of the read, without the reported queue of other routers' requests.
+  double ExpectedLatency(const endpoints::Server& server, const Request& read, Micros needed,
                          Micros now) const;
-  double DistanceCost(const endpoints::Server& server, int class_index, Micros now) const;
-  // Whether the replica is too stale for the reads of some class, and quick enough for this one.
-  bool IsStaleButQuick(const endpoints::Server& server, const Request& read, double expected_time) const;
-  void Consider(Candidate& best, endpoints::Server& server, double score);
+  double LocalityPenalty(const endpoints::Server& server, int class_index, Micros now) const;
+  // Whether the replica's lag exceeds the tightest staleness bound while it is fast enough for this read.
+  bool IsStaleButFast(const endpoints::Server& server, const Request& read, double expected_time) const;
+  void UpdateBest(Candidate& best, endpoints::Server& server, double score);
 
   endpoints::RoutingContext& context_;
   endpoints::EndpointTable& table_;
--- a/src/policy/request_router.cpp
+++ b/src/policy/request_router.cpp
@@ -8,11 +8,11 @@
 namespace tulipyoke::policy {
 namespace {
 
-// The servers that one read asks for their queue, or that may turn it away as too stale: of three, one is
-// sound on most bad days.
-constexpr int kMostChecks = 3;
+// How many servers a read asks to report their queue, and how many may reject it as too stale. One in three
+// is usually healthy, even during most outages.
+constexpr int kMaxReplicasTried = 3;
 constexpr double kMicrosPerMilli = 1e3;
-constexpr double kLongestSinceWrite = 1e15;
+constexpr double kMaxMicrosSinceWrite = 1e15;
 
 }  // namespace
 
@@ -36,7 +36,7 @@
 void RequestRouter::Arrive(const RequestArrived& event, EventScope& scope) {
   const bool known_class = event.class_index >= 0 &&
                            static_cast<std::size_t>(event.class_index) < context_.settings.classes.size();
-  // A group of which no server was ever listed is not kept: clients could fill the memory.
+  // Requests to groups without any listed server are not stored; otherwise clients could exhaust the memory.
   if (!known_class || !table_.HasGroup(event.group)) {
     scope.actions.emplace_back(Reject{event.id, 0});
     return;
@@ -49,9 +49,9 @@
   request.session_position = SessionPosition(event, scope.now);
   retry_policy_.Refill();
   checks_.Refill();
-  Request& kept = requests_[event.id] = request;
+  Request& stored = requests_[event.id] = request;
   scope.actions.emplace_back(SetTimer{remaining, event.id});
-  Route(kept, scope);
+  Route(stored, scope);
 }
 
 Micros RequestRouter::SessionPosition(const RequestArrived& event, Micros now) const {
@@ -61,34 +61,36 @@
     return sessions_known_ ? tokens_.Required(event.key, event.group) : present;
   }
   if (!(event.ms_since_write > 0)) return estimates::kNoPosition;
-  // The float may have been rounded up: take the one below.
-  const float below = std::nextafter(static_cast<float>(event.ms_since_write), 0.0F);
-  const double since_write = std::min(static_cast<double>(below) * kMicrosPerMilli, kLongestSinceWrite);
+  // The float may have been rounded up, so the next lower one is used.
+  const float rounded_down = std::nextafter(static_cast<float>(event.ms_since_write), 0.0F);
+  const double since_write =
+      std::min(static_cast<double>(rounded_down) * kMicrosPerMilli, kMaxMicrosSinceWrite);
   return present - static_cast<Micros>(since_write);
 }
 
 void RequestRouter::Route(Request& request, EventScope& scope) {
-  const bool too_late = scope.now >= retry_policy_.LastUseful(request);
-  if (too_late || !retry_policy_.MayAttempt(request, scope.now)) return GiveUp(request, scope);
+  const bool too_late = scope.now >= retry_policy_.LatestSendTime(request);
+  if (too_late || !retry_policy_.MayAttempt(request, scope.now)) return RejectOrFail(request, scope);
   if (endpoints::NeedsPrimary(context_.ClassOf(request.class_index))) return RouteToPrimary(request, scope);
   RouteRead(request, scope);
 }
 
 void RequestRouter::RouteToPrimary(Request& request, EventScope& scope) {
   if (Server* primary = selector_.ChoosePrimary(request, scope.now)) return Send(request, *primary, scope);
-  const Server* known = table_.Find(table_.GroupAt(request.group).primary);
-  const bool sound = known && known->open && !known->ejection.InBackoff(scope.now) &&
-                     known->AdmitsTrial(context_.settings.health_checks_allowed);
-  // It only has no capacity yet, and nobody else can take the request.
-  if (sound) return parked_.Park(request);
-  const bool searching = SearchPrimary(request.group, scope);
+  const Server* known_primary = table_.Find(table_.GroupAt(request.group).primary);
+  const bool healthy = known_primary && known_primary->open &&
+                       !known_primary->ejection.InBackoff(scope.now) &&
+                       known_primary->AdmitsTrial(context_.settings.health_checks_allowed);
+  // The primary only lacks capacity at the moment, and no other server can take the request.
+  if (healthy) return parked_.Park(request);
+  const bool searching = SearchForPrimary(request.group, scope);
   const bool write = context_.ClassOf(request.class_index).freshness == Freshness::kWrite;
-  Server* guess = write && !searching ? selector_.GuessPrimary(request, scope.now) : nullptr;
-  if (guess) return Send(request, *guess, scope);
+  Server* candidate = write && !searching ? selector_.ChooseLikelyPrimary(request, scope.now) : nullptr;
+  if (candidate) return Send(request, *candidate, scope);
   parked_.Park(request);
 }
 
-bool RequestRouter::SearchPrimary(int group, EventScope& scope) {
+bool RequestRouter::SearchForPrimary(int group, EventScope& scope) {
   bool searching = false;
   for (const ServerId id : table_.GroupAt(group).members) {
     Server& server = table_.At(id);
@@ -99,24 +101,24 @@
 }
 
 void RequestRouter::RouteRead(Request& read, EventScope& scope) {
-  if (admission_.Sheds(read, scope.now)) {
+  if (admission_.ShouldShed(read, scope.now)) {
     const bool bounded = context_.ClassOf(read.class_index).freshness == Freshness::kBounded;
-    if (bounded && !admission_.ReplicaWithinBound(read, scope.now)) return GiveUp(read, scope);
-    return RouteToHeadroom(read, scope);
+    if (bounded && !admission_.HasReplicaWithinBound(read, scope.now)) return RejectOrFail(read, scope);
+    return RouteToPrimaryHeadroom(read, scope);
   }
   Server* replica = read.awaited_replica ? table_.Find(*read.awaited_replica) : nullptr;
   if (!replica || scope.now >= read.reselect_at || !selector_.IsUsable(*replica, read, scope.now)) {
-    replica = selector_.ChooseReplica(read, retry_policy_.LastUseful(read), scope.now);
+    replica = selector_.ChooseReplica(read, retry_policy_.LatestSendTime(read), scope.now);
   }
   if (replica) return RouteToReplica(read, *replica, scope);
-  const bool alone = selector_.NoReplicaLeft(read.group);
-  Server* primary = alone ? selector_.ChoosePrimary(read, scope.now) : nullptr;
+  const bool no_replica_left = selector_.NoReplicaLeft(read.group);
+  Server* primary = no_replica_left ? selector_.ChoosePrimary(read, scope.now) : nullptr;
   if (primary) return Send(read, *primary, scope);
   WaitForAnyReplica(read, scope);
 }
 
 void RequestRouter::WaitForAnyReplica(Request& read, EventScope& scope) {
-  read.failed_at.clear();
+  read.failed_servers.clear();
   for (const ServerId id : table_.GroupAt(read.group).members) {
     Server& server = table_.At(id);
     if (!server.position.known()) checks_.Request(server, context_.scales.check_interval, scope);
@@ -126,19 +128,20 @@
 }
 
 void RequestRouter::RouteToReplica(Request& read, Server& replica, EventScope& scope) {
-  if (AwaitsQueueReport(read, replica, scope)) return;
+  if (WaitsForQueueReport(read, replica, scope)) return;
   const Micros needed = selector_.NeededPosition(read, scope.now);
   if (selector_.IsFreshEnough(replica, needed, scope.now)) return Send(read, replica, scope);
-  // Where no replica is predicted to have the position in time, the best one is asked all the same. When it
-  // turns the read away, this may use the primary's headroom, never before. A session read does so too where
-  // servers check nothing, once a replica has shown since its arrival that it is too far behind.
-  const auto time_left = static_cast<double>(retry_policy_.LastUseful(read) - scope.now);
+  // If no replica is predicted to have the position in time, the best one is tried anyway. Only after it has
+  // rejected the read may the read use the primary's headroom. If servers do not check positions, a session
+  // read may do so once a replica has been observed, since the read arrived, to lag too far.
+  const auto time_left = static_cast<double>(retry_policy_.LatestSendTime(read) - scope.now);
   if (selector_.PredictedWait(replica, needed, scope.now) > time_left) {
-    const bool guarded = context_.settings.staleness_guard != StalenessGuard::kOff;
-    const bool session = context_.ClassOf(read.class_index).freshness == Freshness::kSession;
-    const bool shown_too_stale = session && replica.position.observed() > read.arrived;
-    if (read.misses > 0 || (!guarded && shown_too_stale)) return RouteToHeadroom(read, scope);
-    if (guarded && checks_.TakeForRead()) return Send(read, replica, scope);
+    const bool servers_check_freshness = context_.settings.staleness_guard != StalenessGuard::kOff;
+    const bool is_session_read = context_.ClassOf(read.class_index).freshness == Freshness::kSession;
+    const bool observed_too_stale = is_session_read && replica.position.observed() > read.arrived;
+    if (read.stale_rejections > 0 || (!servers_check_freshness && observed_too_stale))
+      return RouteToPrimaryHeadroom(read, scope);
+    if (servers_check_freshness && checks_.TakeForRead()) return Send(read, replica, scope);
   }
   WaitForReplica(read, replica, needed, scope);
 }
@@ -154,29 +157,29 @@
   parked_.Park(read);
 }
 
-// A read that would else be rejected may use the spare capacity of the primary.
-void RequestRouter::RouteToHeadroom(Request& read, EventScope& scope) {
-  const bool granted = admission_.GrantsHeadroom(read, scope.now);
+// A read that would otherwise be rejected may use the primary's spare capacity.
+void RequestRouter::RouteToPrimaryHeadroom(Request& read, EventScope& scope) {
+  const bool granted = admission_.MayUseHeadroom(read, scope.now);
   Server* primary = granted ? selector_.ChoosePrimary(read, scope.now) : nullptr;
-  if (primary && AwaitsQueueReport(read, *primary, scope)) return;
-  const bool spare = primary && endpoints::IsWarm(context_, *primary, scope.now) &&
-                     !(selector_.QueuedWork(*primary, read.class_index, scope.now) > 0);
-  if (!spare) return GiveUp(read, scope);
+  if (primary && WaitsForQueueReport(read, *primary, scope)) return;
+  const bool has_headroom = primary && endpoints::IsWarm(context_, *primary, scope.now) &&
+                            !(selector_.QueuedWork(*primary, read.class_index, scope.now) > 0);
+  if (!has_headroom) return RejectOrFail(read, scope);
   Send(read, *primary, scope);
 }
 
-// Where answers of the group were late, or the server had a queue when it last reported, it is asked for its
-// queue before a read is sent there.
-bool RequestRouter::AwaitsQueueReport(Request& read, Server& server, EventScope& scope) {
-  const Server* asked = scope.now < read.queue_check_until ? table_.Find(read.queue_checked) : nullptr;
-  if (!asked || !asked->health_check.in_progress) {
+// If recent responses of the group were late, or the server last reported a queue, the server must report its
+// queue again before a read is sent to it.
+bool RequestRouter::WaitsForQueueReport(Request& read, Server& server, EventScope& scope) {
+  const Server* queried = scope.now < read.queue_check_until ? table_.Find(read.queue_check_server) : nullptr;
+  if (!queried || !queried->health_check.in_progress) {
     const bool reports_queue = context_.report_reader.HasQueue() && context_.settings.health_checks_allowed;
-    if (!reports_queue || read.queue_checks >= kMostChecks) return false;
-    if (admission_.IsCalm(read.group, scope.now) && server.queue.length() < 1) return false;
+    if (!reports_queue || read.queue_checks >= kMaxReplicasTried) return false;
+    if (admission_.AdmitsAllReads(read.group, scope.now) && server.queue.length() < 1) return false;
     const double expected = context_.latency.Expected(server.slowness, read.class_index, scope.now);
     if (static_cast<double>(server.queue.Age(scope.now)) <= expected) return false;
     ++read.queue_checks;
-    read.queue_checked = server.id;
+    read.queue_check_server = server.id;
     read.queue_check_until = scope.now + context_.scales.check_interval;
     checks_.Request(server, 0, scope);
   }
@@ -187,19 +190,19 @@
 void RequestRouter::Send(Request& request, Server& server, EventScope& scope) {
   const Micros now = scope.now;
   const ClassSettings& c = context_.ClassOf(request.class_index);
-  slow_start_.NoteSend(server, request.class_index, now);
+  slow_start_.RecordSend(server, request.class_index, now);
   if (server.ejection.ejected()) server.ejection.BackOff(now, context_.scales, context_.random);
   const bool freshness_check = selector_.NeededPosition(request, now) > server.position.value();
   server.in_flight.Add({request.id, request.attempts, request.class_index, request.key, now,
                         /*cancelled=*/false, freshness_check});
-  if (!request.may_have_run && request.in_flight == 0) request.first_may_have_run = now;
+  if (!request.may_have_executed && request.in_flight == 0) request.first_possible_execution = now;
   ++request.attempts;
   ++request.in_flight;
   request.parked = false;
   request.awaited_replica.reset();
-  const bool to_objective = c.idempotency == Idempotency::kIdempotent && c.late_weight <= 0;
+  const bool ends_at_objective = c.idempotency == Idempotency::kIdempotent && c.late_weight <= 0;
   const Micros objective_end = std::min(request.deadline, request.arrived + c.latency_objective);
-  const Micros end = to_objective ? objective_end : request.deadline;
+  const Micros end = ends_at_objective ? objective_end : request.deadline;
   scope.actions.emplace_back(tulipyoke::Send{request.id, server.id, std::max<Micros>(end - now, 1)});
 }
 
@@ -211,24 +214,25 @@
     requests_.erase(outcome.id);
     return;
   }
-  retry_policy_.NoteFailure(*request, outcome.status, sent);
+  retry_policy_.RecordFailure(*request, outcome.status, sent);
   if (request->in_flight == 0) Retry(*request, outcome, scope);
 }
 
 void RequestRouter::Retry(Request& request, const tulipyoke::AttemptEnded& outcome, EventScope& scope) {
-  const bool too_late = scope.now >= retry_policy_.LastUseful(request);
-  if (outcome.status == Status::kNotSent || too_late) return GiveUp(request, scope);
-  if (!retry_policy_.MayAttempt(request, scope.now)) return GiveUp(request, scope);
-  if (!retry_policy_.TakeRetry(outcome.status)) return GiveUp(request, scope);
-  const bool missed = outcome.status == Status::kStaleOrWrongRole;
+  const bool too_late = scope.now >= retry_policy_.LatestSendTime(request);
+  if (outcome.status == Status::kNotSent || too_late) return RejectOrFail(request, scope);
+  if (!retry_policy_.MayAttempt(request, scope.now)) return RejectOrFail(request, scope);
+  if (!retry_policy_.TryTakeRetry(outcome.status)) return RejectOrFail(request, scope);
+  const bool too_stale_or_wrong_role = outcome.status == Status::kStaleOrWrongRole;
   if (!endpoints::NeedsPrimary(context_.ClassOf(request.class_index))) {
-    if (missed && ++request.misses >= kMostChecks) return RouteToHeadroom(request, scope);
-    if (!missed) request.failed_at.push_back(outcome.server);
+    if (too_stale_or_wrong_role && ++request.stale_rejections >= kMaxReplicasTried)
+      return RouteToPrimaryHeadroom(request, scope);
+    if (!too_stale_or_wrong_role) request.failed_servers.push_back(outcome.server);
   }
   Route(request, scope);
 }
 
-void RequestRouter::GiveUp(Request& request, EventScope& scope) {
+void RequestRouter::RejectOrFail(Request& request, EventScope& scope) {
   const RequestId id = request.id;
   if (retry_policy_.MayReject(request)) {
     const Settings& settings = context_.settings;
@@ -252,7 +256,7 @@
 }
 
 void RequestRouter::TimeOut(RequestId id, EventScope& scope) {
-  if (Request* request = Find(id)) GiveUp(*request, scope);
+  if (Request* request = Find(id)) RejectOrFail(*request, scope);
 }
 
 void RequestRouter::Cancel(RequestId id, EventScope& scope) {
@@ -272,7 +276,7 @@
     request->parked = false;
     Route(*request, scope);
   }
-  parked_.RestoreOrder(group);
+  parked_.RestoreArrivalOrder(group);
 }
 
 void RequestRouter::RouteAllParked(EventScope& scope) {
--- a/src/policy/request_router.hpp
+++ b/src/policy/request_router.hpp
@@ -1,4 +1,4 @@
-// Sends, parks, retries and rejects requests.
+// Routes requests: sends, parks, retries, rejects or fails them.
 #ifndef TULIPYOKE_SRC_POLICY_REQUEST_ROUTER_HPP_
 #define TULIPYOKE_SRC_POLICY_REQUEST_ROUTER_HPP_
 
@@ -23,16 +23,16 @@
                 endpoints::HealthChecks& checks, SlowStart& slow_start, sessions::ConsistencyTokens& tokens);
 
   void Arrive(const RequestArrived& event, endpoints::EventScope& scope);
-  // An attempt that was sent at `sent` has ended, and what it tells of its server has been learned.
+  // Handles the end of an attempt that was sent at `sent`. The caller has already updated the server's state.
   void AttemptEnded(const tulipyoke::AttemptEnded& outcome, Micros sent, endpoints::EventScope& scope);
-  // The request's time is over: its client's, or that of a router which is to end.
+  // Handles the end of the request's time, whether its deadline has passed or the router is shutting down.
   void TimeOut(RequestId id, endpoints::EventScope& scope);
-  // The client has left.
+  // Handles the disconnection of the client.
   void Cancel(RequestId id, endpoints::EventScope& scope);
-  // Routes the parked requests of one group, or of all, anew.
+  // Routes the parked requests of one group, or of all groups, again.
   void RouteParked(int group, endpoints::EventScope& scope);
   void RouteAllParked(endpoints::EventScope& scope);
-  // Whether all writes of sessions are known; while not, their reads need the present position.
+  // Sets whether all session writes are known. While they are not, session reads need the present position.
   void SetSessionsKnown(bool known) { sessions_known_ = known; }
 
  private:
@@ -40,21 +40,21 @@
   using EventScope = endpoints::EventScope;
 
   Micros SessionPosition(const RequestArrived& event, Micros now) const;
-  // Sends the request, parks it or gives it up.
+  // Sends the request, parks it, or rejects or fails it.
   void Route(Request& request, EventScope& scope);
   void RouteToPrimary(Request& request, EventScope& scope);
   void RouteRead(Request& read, EventScope& scope);
   void RouteToReplica(Request& read, Server& replica, EventScope& scope);
   void WaitForAnyReplica(Request& read, EventScope& scope);
   void WaitForReplica(Request& read, Server& replica, Micros needed, EventScope& scope);
-  void RouteToHeadroom(Request& read, EventScope& scope);
-  // Whether the read waits until the server has told its queue.
-  bool AwaitsQueueReport(Request& read, Server& server, EventScope& scope);
-  // Requests health checks of all members; false where none can be asked now.
-  bool SearchPrimary(int group, EventScope& scope);
+  void RouteToPrimaryHeadroom(Request& read, EventScope& scope);
+  // Whether the read must wait until the server has reported its queue.
+  bool WaitsForQueueReport(Request& read, Server& server, EventScope& scope);
+  // Requests health checks of all members. Returns false if none is in progress.
+  bool SearchForPrimary(int group, EventScope& scope);
   void Send(Request& request, Server& server, EventScope& scope);
   void Retry(Request& request, const tulipyoke::AttemptEnded& outcome, EventScope& scope);
-  void GiveUp(Request& request, EventScope& scope);
+  void RejectOrFail(Request& request, EventScope& scope);
   void CancelAttempts(RequestId id, EventScope& scope);
   Request* Find(RequestId id);
 
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -1,4 +1,4 @@
-// Whether a request may be sent, or sent again, and whether it may be rejected.
+// Decides whether a request may be sent or retried and whether it may be rejected.
 #ifndef TULIPYOKE_SRC_POLICY_RETRY_POLICY_HPP_
 #define TULIPYOKE_SRC_POLICY_RETRY_POLICY_HPP_
 
@@ -14,17 +14,17 @@
  public:
   explicit RetryPolicy(const endpoints::RoutingContext& context);
 
-  // A request has arrived: the retry budget grows by a share of a retry.
+  // Refills the retry budget by the part of a retry that one arriving request adds.
   void Refill();
   bool MayAttempt(const Request& request, Micros now) const;
-  // The time after which waiting earns nothing. A request that was not sent by half its time is rejected: its
-  // client has better odds when it comes back.
-  Micros LastUseful(const Request& request) const;
-  // Notes the failure of an attempt that was sent at `sent`.
-  void NoteFailure(Request& request, Status status, Micros sent) const;
-  // Takes a retry after such a failure from the budget; false where that is spent.
-  bool TakeRetry(Status status);
-  // Whether the client may be told to send it again.
+  // The time after which sending the request is no longer useful. A request that has not been sent by half of
+  // its time is rejected, because its client has better odds when it retries.
+  Micros LatestSendTime(const Request& request) const;
+  // Records the failure of an attempt that was sent at `sent`.
+  void RecordFailure(Request& request, Status status, Micros sent) const;
+  // Takes the cost of a retry after this outcome from the budget. Returns false if the budget is exhausted.
+  bool TryTakeRetry(Status status);
+  // Whether the client may be told to send the request again.
   bool MayReject(const Request& request) const;
 
  private:
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -1,4 +1,4 @@
-// The Router: hands each event to the parts of the policy that it concerns.
+// Implements Router: dispatches each event to the policy components that handle it.
 #include "tulipyoke/router.hpp"
 
 #include <algorithm>
@@ -20,8 +20,9 @@
 
 constexpr std::uint64_t kHousekeepingTimer = std::numeric_limits<std::uint64_t>::max();
 constexpr Micros kMicrosPerMilli = 1000;
-// After so many warm-up times the commit of a session is old: many of these are merged.
-constexpr int kTokenLifetimes = 4;
+// A session's commit is kept for at least this many lifetimes before it may be merged into the floor of its
+// group.
+constexpr int kCommitRetentionFactor = 4;
 
 static_assert(sessions::kNoPosition == estimates::kNoPosition);
 
@@ -62,7 +63,7 @@
     requests.AttemptEnded(event, sent, scope);
     if (server) requests.RouteParked(server->group, scope);
   }
-  // The response is the client's from then on; its outcome ends it.
+  // No action: the outcome of the attempt ends the request.
   void On(const ResponseStarted&, EventScope&) {}
   void On(const HealthCheckEnded& event, EventScope& scope) {
     Server* server = table.Find(event.server);
@@ -85,7 +86,7 @@
   }
   void On(const RequestCancelled& event, EventScope& scope) { requests.Cancel(event.id, scope); }
   void On(const PeerMessage&, EventScope&) {}
-  // All processes of a router count as one: what any of them was told, each must keep to.
+  // All processes of a router count as one router to clients: a commit that one of them reported binds each.
   void On(const SessionCommit& event, EventScope&) {
     tokens.Record(event.key, event.group, event.position_ms * kMicrosPerMilli);
   }
@@ -113,7 +114,7 @@
     endpoints::UpdateWarmRates(context, table, scope.now);
     requests.RouteAllParked(scope);
     const Micros lifetime = std::max(context.settings.slow_start_window, context.scales.longest_deadline);
-    tokens.Compact(context.PositionAt(scope.now) - kTokenLifetimes * lifetime);
+    tokens.Compact(context.PositionAt(scope.now) - kCommitRetentionFactor * lifetime);
   }
 
   endpoints::RoutingContext context;
@@ -145,7 +146,7 @@
 }
 
 std::vector<SessionCommit> Router::known_commits(std::uint64_t key) const {
-  return state_->tokens.Known(key);
+  return state_->tokens.KnownCommits(key);
 }
 
 ServerObservation Router::observation(ServerId id) const {
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -6,23 +6,23 @@
 namespace tulipyoke::policy {
 namespace {
 
-// A primary that warms up gets so many even parts of what only a primary can serve.
-constexpr double kPartsOfPrimary = 2.0;
+// For requests that only a primary can serve, a starting primary gets this multiple of a server's even share.
+constexpr double kPrimaryEvenShares = 2.0;
 
 }  // namespace
 
 bool SlowStart::Admits(endpoints::Server& server, int class_index, Micros now) {
   const double share = limits::CapacityShare(context_.settings, server.slow_start_from, now);
   if (share >= 1) return true;
-  const double parts = endpoints::NeedsPrimary(context_.ClassOf(class_index)) ? kPartsOfPrimary : 1;
-  const double even_rate = parts * limits::EvenRate(context_.settings, table_.most_open());
+  const double even_shares = endpoints::NeedsPrimary(context_.ClassOf(class_index)) ? kPrimaryEvenShares : 1;
+  const double even_rate = even_shares * limits::EvenRate(context_.settings, table_.most_open());
   const double warm_rate = table_.GroupAt(server.group).warm_rate;
   return server.slow_start_budget.Admits(context_.settings, now, context_.latency.Usual(class_index),
                                          {share, warm_rate, even_rate},
                                          [this] { return context_.random.Fraction(); });
 }
 
-void SlowStart::NoteSend(endpoints::Server& server, int class_index, Micros now) const {
+void SlowStart::RecordSend(endpoints::Server& server, int class_index, Micros now) const {
   if (!endpoints::IsWarm(context_, server, now))
     server.slow_start_budget.Spend(now, context_.latency.Usual(class_index));
 }
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -1,4 +1,4 @@
-// Slow start: how much a server that was started lately is sent while it warms up.
+// Slow start: limits the load of a recently started server while it warms up.
 #ifndef TULIPYOKE_SRC_POLICY_SLOW_START_HPP_
 #define TULIPYOKE_SRC_POLICY_SLOW_START_HPP_
 
@@ -12,9 +12,9 @@
   SlowStart(endpoints::RoutingContext& context, endpoints::EndpointTable& table)
       : context_(context), table_(table) {}
 
-  // Whether one more request of the class may go to the server.
+  // Whether the server may be sent one more request of the class.
   bool Admits(endpoints::Server& server, int class_index, Micros now);
-  void NoteSend(endpoints::Server& server, int class_index, Micros now) const;
+  void RecordSend(endpoints::Server& server, int class_index, Micros now) const;
 
  private:
   endpoints::RoutingContext& context_;
--- a/src/requests/parked_requests.cpp
+++ b/src/requests/parked_requests.cpp
@@ -18,7 +18,7 @@
   return taken;
 }
 
-void ParkedRequests::RestoreOrder(int group) {
+void ParkedRequests::RestoreArrivalOrder(int group) {
   const auto parked = by_group_.find(group);
   if (parked != by_group_.end()) std::reverse(parked->second.begin(), parked->second.end());
 }
--- a/src/requests/parked_requests.hpp
+++ b/src/requests/parked_requests.hpp
@@ -12,11 +12,11 @@
 class ParkedRequests {
  public:
   void Park(Request& request);
-  // Takes out all that wait in the group, newest first: under overload the newest can still be answered in
-  // time. Those that ended meanwhile are to be passed over by the caller.
+  // Removes and returns all requests parked in the group, newest first: under overload the newest can still
+  // be answered in time. Requests that have ended since are included; the caller skips them.
   std::vector<RequestId> TakeNewestFirst(int group);
-  // Restores the order of arrival after all that were taken out have been routed or parked again.
-  void RestoreOrder(int group);
+  // Restores the arrival order after all requests that were taken have been routed or parked again.
+  void RestoreArrivalOrder(int group);
 
  private:
   std::map<int, std::vector<RequestId>> by_group_;
--- a/src/requests/request.hpp
+++ b/src/requests/request.hpp
@@ -1,4 +1,4 @@
-// A request from its arrival to its end.
+// The state of a request from its arrival to its end.
 #ifndef TULIPYOKE_SRC_REQUESTS_REQUEST_HPP_
 #define TULIPYOKE_SRC_REQUESTS_REQUEST_HPP_
 
@@ -18,22 +18,22 @@
   std::uint64_t key = 0;
   Micros arrived = 0;
   Micros deadline = 0;
-  Micros session_position = estimates::kNoPosition;  // that its session's writes need
+  Micros session_position = estimates::kNoPosition;  // required by the writes of its session
   int attempts = 0;
   int in_flight = 0;
-  int queue_checks = 0;                           // servers that were asked for their queue
-  int misses = 0;                                 // replicas that turned it away as too stale
-  ServerId queue_checked = 0;                     // the newest of the servers asked
-  Micros queue_check_until = 0;                   // it waits for that answer until then
-  Micros first_may_have_run = endpoints::kNever;  // first send that may have run or is in flight
-  bool may_have_run = false;
+  int queue_checks = 0;                                 // servers that were asked to report their queue
+  int stale_rejections = 0;                             // replicas that rejected it as too stale
+  ServerId queue_check_server = 0;                      // the server asked last
+  Micros queue_check_until = 0;                         // how long it waits for that report
+  Micros first_possible_execution = endpoints::kNever;  // earliest send that may have run or is in flight
+  bool may_have_executed = false;
   bool parked = false;
   bool admission_decided = false;
   bool shed = false;
-  double priority = 0;  // what its answer is worth
+  double priority = 0;  // the value of its response
   std::optional<ServerId> awaited_replica = {};
   Micros reselect_at = 0;
-  std::vector<ServerId> failed_at = {};
+  std::vector<ServerId> failed_servers = {};
 };
 
 using RequestTable = std::map<RequestId, Request>;
--- a/src/sessions/consistency_tokens.cpp
+++ b/src/sessions/consistency_tokens.cpp
@@ -29,17 +29,17 @@
 }
 
 void ConsistencyTokens::Compact(Micros oldest) {
-  if (commits_.size() < compact_at_) return;
+  if (commits_.size() < next_compaction_size_) return;
   std::erase_if(commits_, [&](const auto& entry) {
     const Commit& commit = entry.second;
     if (commit.position > oldest) return false;
     RaiseFloor(commit.group, commit.position);
     return true;
   });
-  compact_at_ = std::max(kLeastCompacted, 2 * commits_.size());
+  next_compaction_size_ = std::max(kMinCompactionSize, 2 * commits_.size());
 }
 
-std::vector<SessionCommit> ConsistencyTokens::Known(std::uint64_t key) const {
+std::vector<SessionCommit> ConsistencyTokens::KnownCommits(std::uint64_t key) const {
   std::vector<SessionCommit> known;
   const auto end = key == 0 ? commits_.end() : commits_.upper_bound(key);
   for (auto it = commits_.lower_bound(key); it != end; ++it) {
--- a/src/sessions/consistency_tokens.hpp
+++ b/src/sessions/consistency_tokens.hpp
@@ -1,6 +1,6 @@
-// The commits of sessions as far as this router saw them: the position that a session's next read must see.
-// The memory is bounded: old commits are merged into one floor for their group, so that forgetting one makes
-// a read wait and never lets it be stale.
+// Stores the newest commit of each session that this router knows: the position that the session's next read
+// must see. Memory is bounded by merging old commits into one floor per group. A read of a merged session may
+// wait longer than necessary but never sees stale data.
 #ifndef TULIPYOKE_SRC_SESSIONS_CONSISTENCY_TOKENS_HPP_
 #define TULIPYOKE_SRC_SESSIONS_CONSISTENCY_TOKENS_HPP_
 
@@ -13,23 +13,24 @@
 
 namespace tulipyoke::sessions {
 
-// No position is required.
+// Means that no position is required.
 inline constexpr Micros kNoPosition = -1;
 
-// Positions are microseconds after Settings::position_epoch.
+// Positions are in microseconds after Settings::position_epoch.
 class ConsistencyTokens {
  public:
-  // Notes a commit; key 0 stands for all sessions of the group that are not named.
+  // Records a commit. Key 0 stands for all sessions of the group without a commit of their own.
   void Record(std::uint64_t key, int group, Micros position);
-  // The position that the session's next read needs; kNoPosition: any will do.
+  // The position that the session's next read needs, or kNoPosition if any will do.
   Micros Required(std::uint64_t key, int group) const;
-  // All writes of sessions of the group that were not seen here are at `position` or before.
+  // States that no unrecorded commit of a session of the group is newer than `position`.
   void RaiseFloor(int group, Micros position);
-  // Merges commits that are not newer than `oldest`, once there are many: to look each time would cost more
-  // than it frees.
+  // Merges the commits up to `oldest` into the floors. It does so only once there are many, because a scan on
+  // every call would cost more than it frees.
   void Compact(Micros oldest);
-  // The commits of one session, or with 0 of all sessions and the floors; in milliseconds, rounded up.
-  std::vector<SessionCommit> Known(std::uint64_t key) const;
+  // The commit of one session, or with key 0 those of all sessions and the floors. Positions are rounded up
+  // to milliseconds.
+  std::vector<SessionCommit> KnownCommits(std::uint64_t key) const;
   std::size_t size() const { return commits_.size(); }
 
  private:
@@ -37,11 +38,11 @@
     Micros position = 0;
     int group = 0;
   };
-  static constexpr std::size_t kLeastCompacted = 4096;
+  static constexpr std::size_t kMinCompactionSize = 4096;
 
   std::map<std::uint64_t, Commit> commits_;
   std::map<int, Micros> floors_;
-  std::size_t compact_at_ = kLeastCompacted;
+  std::size_t next_compaction_size_ = kMinCompactionSize;
 };
 
 }  // namespace tulipyoke::sessions
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -1,4 +1,4 @@
-// Outlier detection by itself.
+// Unit tests of OutlierDetection.
 #include "src/policy/outlier_detection.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 using OutlierDetectionTest = PolicyTest;
 
-TEST_F(OutlierDetectionTest, ResetsEjectAServerThatFailsMoreThanHalf) {
+TEST_F(OutlierDetectionTest, ResetsEjectAServerWhenMostAttemptsFail) {
   OutlierDetection outliers(context_, checks_);
   endpoints::Server& server = table_.At(2);
   AttemptEnded reset;
@@ -20,17 +20,17 @@
   for (; !server.ejection.ejected() && resets < 20; ++resets) {
     outliers.ObserveAttempt(server, {.id = 1, .class_index = kAnyRead, .sent = kNow}, reset, scope);
   }
-  EXPECT_EQ(resets, 4);  // 1 - 0.8^4 is the first share over a half
+  EXPECT_EQ(resets, 4);  // 1 - 0.8^4 is the first failure share above one half
   AttemptEnded answer;
   outliers.ObserveAttempt(server, {.id = 2, .class_index = kAnyRead, .sent = kNow}, answer, scope);
   EXPECT_FALSE(server.ejection.ejected());
 }
 
-TEST_F(OutlierDetectionTest, OnlyALateTimeoutWithoutAnAnswerSinceEjects) {
+TEST_F(OutlierDetectionTest, LateTimeoutEjectsOnlyWithoutAResponseSinceTheSend) {
   OutlierDetection outliers(context_, checks_);
   AttemptEnded timeout;
   timeout.status = Status::kTimeout;
-  timeout.elapsed = 30 * kMs;  // the client had no more time
+  timeout.elapsed = 30 * kMs;  // the client's deadline was short
   endpoints::EventScope scope{kNow, actions_};
   const estimates::InFlightAttempt attempt{.id = 1, .class_index = kAnyRead, .sent = kNow - 390 * kMs};
   outliers.ObserveAttempt(table_.At(2), attempt, timeout, scope);
@@ -44,7 +44,7 @@
   EXPECT_EQ(ActionsOfType<CheckHealth>(actions_).size(), 1u);
 }
 
-TEST_F(OutlierDetectionTest, AFailedHealthCheckEjectsUnlessItWasRejected) {
+TEST_F(OutlierDetectionTest, FailedHealthCheckEjectsUnlessTheServerWasOverloaded) {
   OutlierDetection outliers(context_, checks_);
   endpoints::EventScope scope{kNow, actions_};
   outliers.ObserveHealthCheck(table_.At(2), Status::kOverloaded, scope);
@@ -53,7 +53,7 @@
   EXPECT_TRUE(table_.At(2).ejection.ejected());
   outliers.ObserveHealthCheck(table_.At(2), Status::kOk, scope);
   EXPECT_EQ(table_.At(2).health_check.succeeded, kNow);
-  EXPECT_TRUE(table_.At(2).ejection.ejected());  // until an attempt is answered
+  EXPECT_TRUE(table_.At(2).ejection.ejected());  // until the server responds to an attempt
 }
 
 }  // namespace
--- a/tests/policy/policy_fixture.hpp
+++ b/tests/policy/policy_fixture.hpp
@@ -1,4 +1,4 @@
-// A test fixture with what the parts of the policy share.
+// A test fixture with the objects that the policy components share.
 #ifndef TULIPYOKE_TESTS_POLICY_POLICY_FIXTURE_HPP_
 #define TULIPYOKE_TESTS_POLICY_POLICY_FIXTURE_HPP_
 
@@ -15,7 +15,7 @@
 
 inline constexpr Micros kNow = 100 * kSecond;
 
-// A context with the primary 1 and the replicas 2 and 3, all warm.
+// The table holds the primary 1 and the replicas 2 and 3, all warm.
 class PolicyTest : public testing::Test {
  protected:
   PolicyTest() {
@@ -23,10 +23,10 @@
     table_.Apply({EndpointListKind::kCached, 1, {ReadyEntry(1, true), ReadyEntry(2), ReadyEntry(3)}}, checks_,
                  scope);
   }
-  static requests::Request ReadOf(int class_index) {
+  static requests::Request MakeRead(int class_index) {
     return {.id = 1, .class_index = class_index, .arrived = kNow, .deadline = kNow + kSecond};
   }
-  void Show(ServerId id, Micros lag) {
+  void ObserveLag(ServerId id, Micros lag) {
     table_.At(id).position.Observe(kNow, kNow - lag, estimates::PositionKind::kExact, kNow, kMs);
   }
 
--- a/tests/policy/primary_routing_test.cpp
+++ b/tests/policy/primary_routing_test.cpp
@@ -1,4 +1,4 @@
-// Writes and fresh reads, which only the primary can serve.
+// Tests the routing of writes and fresh reads, which only the primary can serve.
 #include <gtest/gtest.h>
 
 #include "tests/router_harness.hpp"
@@ -6,47 +6,48 @@
 namespace tulipyoke {
 namespace {
 
-TEST(PrimaryRouting, WritesAndFreshReadsGoToTheListedOneFirst) {
-  RouterHarness scene;
-  EXPECT_EQ(SentTo(scene.Arrive(1, kKeyedWrite), 1), 1u);
-  EXPECT_EQ(SentTo(scene.Arrive(2, kFreshRead), 2), 1u);
+TEST(PrimaryRouting, WritesAndFreshReadsGoToTheListedPrimary) {
+  RouterHarness harness;
+  EXPECT_EQ(SentTo(harness.Arrive(1, kKeyedWrite), 1), 1u);
+  EXPECT_EQ(SentTo(harness.Arrive(2, kFreshRead), 2), 1u);
 }
 
-TEST(PrimaryRouting, AWriteThatAReplicaRejectsWaitsForThePrimary) {
-  RouterHarness scene;
-  scene.Arrive(1, kNonIdempotentWrite);
-  scene.Advance(kMs);
-  const auto miss = scene.EndAttempt(1, 1, Status::kStaleOrWrongRole, Role::kReplica, scene.now_ms() - 10);
-  EXPECT_FALSE(SentTo(miss, 1));
-  EXPECT_EQ(SentTo(scene.ReportHealthCheck(3, 0, true), 1), 3u);
-  EXPECT_EQ(SentTo(scene.Arrive(2, kKeyedWrite), 2), 3u);
+TEST(PrimaryRouting, WriteRejectedByAReplicaWaitsForThePrimary) {
+  RouterHarness harness;
+  harness.Arrive(1, kNonIdempotentWrite);
+  harness.Advance(kMs);
+  const auto rejection =
+      harness.EndAttempt(1, 1, Status::kStaleOrWrongRole, Role::kReplica, harness.now_ms() - 10);
+  EXPECT_FALSE(SentTo(rejection, 1));
+  EXPECT_EQ(SentTo(harness.ReportHealthCheck(3, 0, true), 1), 3u);
+  EXPECT_EQ(SentTo(harness.Arrive(2, kKeyedWrite), 2), 3u);
 }
 
-TEST(PrimaryRouting, OlderEvidenceDoesNotWin) {
-  RouterHarness scene;
-  scene.ReportHealthCheck(3, 10 * kMs, true);
-  scene.ReportHealthCheck(2, 500 * kMs, true);  // a late report from before the switch
-  EXPECT_EQ(SentTo(scene.Arrive(1, kKeyedWrite), 1), 3u);
+TEST(PrimaryRouting, OlderRoleReportDoesNotReplaceANewerOne) {
+  RouterHarness harness;
+  harness.ReportHealthCheck(3, 10 * kMs, true);
+  harness.ReportHealthCheck(2, 500 * kMs, true);  // a late report from before the failover
+  EXPECT_EQ(SentTo(harness.Arrive(1, kKeyedWrite), 1), 3u);
 }
 
-TEST(PrimaryRouting, AParkedWriteIsRejectedBeforeItsDeadline) {
-  RouterHarness scene;
-  scene.UpdateList(EndpointListKind::kFull, {ReadyEntry(2), ReadyEntry(3)});
-  scene.Arrive(1, kNonIdempotentWrite);
-  const auto actions = scene.Advance(kSecond);
+TEST(PrimaryRouting, ParkedWriteIsRejectedBeforeItsDeadline) {
+  RouterHarness harness;
+  harness.UpdateList(EndpointListKind::kFull, {ReadyEntry(2), ReadyEntry(3)});
+  harness.Arrive(1, kNonIdempotentWrite);
+  const auto actions = harness.Advance(kSecond);
   EXPECT_TRUE(HasReject(actions, 1));
   EXPECT_TRUE(ActionsOfType<Send>(actions).empty());
 }
 
-// Guards against a request that waits here for more than half of its time without any server having seen it:
-// its client, told when to come back, has better odds elsewhere, and such a late rejection is charged for.
-TEST(PrimaryRouting, AWriteThatNobodyCanTakeIsRejectedBeforeHalfItsTime) {
-  RouterHarness scene;
-  scene.Arrive(1, kKeyedWrite);
-  scene.EndAttempt(1, 1, Status::kStaleOrWrongRole, Role::kReplica);
-  ASSERT_FALSE(SentTo(scene.Arrive(2, kKeyedWrite), 2));
-  EXPECT_FALSE(HasReject(scene.Advance(400 * kMs), 2));
-  const auto actions = scene.Advance(100 * kMs);
+// Guards against a request that waits for more than half of its time before any server gets it. The client
+// has better odds elsewhere if it is told early when to retry, and such a late rejection has a cost.
+TEST(PrimaryRouting, UnroutableWriteIsRejectedBeforeHalfItsTime) {
+  RouterHarness harness;
+  harness.Arrive(1, kKeyedWrite);
+  harness.EndAttempt(1, 1, Status::kStaleOrWrongRole, Role::kReplica);
+  ASSERT_FALSE(SentTo(harness.Arrive(2, kKeyedWrite), 2));
+  EXPECT_FALSE(HasReject(harness.Advance(400 * kMs), 2));
+  const auto actions = harness.Advance(100 * kMs);
   ASSERT_TRUE(HasReject(actions, 2));
   for (const Reject& r : ActionsOfType<Reject>(actions)) EXPECT_GT(r.retry_after, 0);
 }
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -1,4 +1,4 @@
-// Events that are unusual, and settings that are empty.
+// Tests unexpected events and empty settings.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -9,22 +9,22 @@
 namespace {
 
 TEST(UnusualEvents, UnknownIdsAndClassesAreHandled) {
-  RouterHarness scene;
-  EXPECT_TRUE(ActionsOfType<Send>(scene.EndAttempt(99, 1, Status::kReset, Role::kUnknown, {}, 0)).empty());
-  scene.EndAttempt(99, 12345, Status::kOk, Role::kPrimary, 5, 0);
-  scene.Handle(RequestCancelled{99});
-  scene.Handle(TimerFired{99});
-  scene.Handle(ResponseStarted{99, 0, 1});
-  scene.Handle(PeerMessage{3, "x"});
-  scene.FailHealthCheck(12345);
+  RouterHarness harness;
+  EXPECT_TRUE(ActionsOfType<Send>(harness.EndAttempt(99, 1, Status::kReset, Role::kUnknown, {}, 0)).empty());
+  harness.EndAttempt(99, 12345, Status::kOk, Role::kPrimary, 5, 0);
+  harness.Handle(RequestCancelled{99});
+  harness.Handle(TimerFired{99});
+  harness.Handle(ResponseStarted{99, 0, 1});
+  harness.Handle(PeerMessage{3, "x"});
+  harness.FailHealthCheck(12345);
   RequestArrived e;
   e.id = 5;
   e.class_index = 42;
-  EXPECT_TRUE(HasReject(scene.Handle(e), 5));
-  EXPECT_TRUE(HasReject(scene.Arrive(6, kAnyRead, 0, 0), 6));
+  EXPECT_TRUE(HasReject(harness.Handle(e), 5));
+  EXPECT_TRUE(HasReject(harness.Arrive(6, kAnyRead, 0, 0), 6));
 }
 
-TEST(UnusualEvents, EmptySettingsStillAnswer) {
+TEST(UnusualEvents, EmptySettingsRejectRequests) {
   Settings s;
   s.classes.emplace_back();
   Router router(s, 1);
--- a/tests/policy/oracle_world.hpp
+++ b/tests/policy/simulated_cluster.hpp
@@ -1,7 +1,7 @@
-// Servers, clients and an endpoint list around one Router, driven by seeded random events. Every field of
+// Simulates servers, clients and an endpoint list around one Router with seeded random events. Every field of
 // every action of the Router enters a hash.
-#ifndef TULIPYOKE_TESTS_POLICY_ORACLE_WORLD_HPP_
-#define TULIPYOKE_TESTS_POLICY_ORACLE_WORLD_HPP_
+#ifndef TULIPYOKE_TESTS_POLICY_SIMULATED_CLUSTER_HPP_
+#define TULIPYOKE_TESTS_POLICY_SIMULATED_CLUSTER_HPP_
 
 #include <algorithm>
 #include <array>
@@ -21,7 +21,7 @@
 inline constexpr int kServers = 9;
 inline constexpr int kGroups = 2;
 
-// A generator that gives the same numbers with every standard library (SplitMix64).
+// A random generator with the same sequence on every standard library (SplitMix64).
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
@@ -32,7 +32,7 @@
     z = (z ^ (z >> 27)) * 0x94d049bb133111eb;
     return z ^ (z >> 31);
   }
-  // In [0, limit).
+  // Returns a number in [0, limit).
   int Below(int limit) { return static_cast<int>(Next() % static_cast<std::uint64_t>(limit)); }
   bool OneIn(int count) { return Below(count) == 0; }
 
@@ -59,7 +59,7 @@
 
 inline std::uint64_t Bits(Micros signed_number) { return static_cast<std::uint64_t>(signed_number); }
 
-// Adds every field of an action.
+// Adds every field of an action to the hash.
 struct FieldHasher {
   Hash& hash;
 
@@ -92,8 +92,8 @@
   void operator()(const FetchEndpointList&) const {}
 };
 
-// How the servers behave for a while.
-enum Phase { kCalm, kCrowded, kFailing, kLagging, kFaultyServer, kUnreachable, kPhaseCount };
+// How the simulated servers behave during one phase.
+enum Phase { kNormal, kOverload, kFailing, kReplicationLag, kFaultyServer, kUnreachable, kPhaseCount };
 
 struct AttemptInFlight {
   RequestId id = 0;
@@ -114,10 +114,10 @@
   std::array<int, std::variant_size_v<Action>> kinds{};
 };
 
-// Servers, clients and an endpoint list around one Router.
-class World {
+// Simulates servers, clients and an endpoint list around one Router.
+class SimulatedCluster {
  public:
-  World(const Settings& settings, std::uint64_t seed, ServerId first_server)
+  SimulatedCluster(const Settings& settings, std::uint64_t seed, ServerId first_server)
       : settings_(settings),
         router_(settings, seed),
         random_(seed * 7919 + 1),
@@ -130,10 +130,10 @@
   Outcome Run() {
     for (int step = 0; step < kStepsPerScenario; ++step) {
       if (step % kStepsPerPhase == 0) ChangePhase();
-      Step();
+      RunStep();
       if (step % 32 == 0) HashQueries();
     }
-    Pass(5 * kSecond);
+    AdvanceClock(5 * kSecond);
     HashQueries();
     outcome_.hash = hash_.value();
     return outcome_;
@@ -143,7 +143,7 @@
   void StartList() {
     EndpointList list;
     for (ServerId id = 1; id <= 7; ++id) list.push_back(EntryOf(id, id == 1 || id == 6));
-    Take(EndpointListUpdate{EndpointListKind::kCached, 1, list});
+    HandleEvent(EndpointListUpdate{EndpointListKind::kCached, 1, list});
   }
   using EndpointList = std::vector<EndpointEntry>;
 
@@ -152,25 +152,25 @@
     entry.zone = static_cast<int>(id % 3);
     return entry;
   }
-  // Servers are numbered from 1 here; the Router knows them by other ids.
+  // The simulation numbers its servers from 1; their ids in the Router start at `first_server_`.
   ServerId IdOf(ServerId number) const { return number - 1 + first_server_; }
   ServerId NumberOf(ServerId id) const { return id + 1 - first_server_; }
   void ChangePhase() {
     phase_ = static_cast<Phase>(random_.Below(kPhaseCount));
-    faulty_ = static_cast<ServerId>(1 + random_.Below(kServers));
+    faulty_server_ = static_cast<ServerId>(1 + random_.Below(kServers));
     if (random_.OneIn(3)) primaries_[0] = static_cast<ServerId>(1 + random_.Below(5));
     if (random_.OneIn(4)) primaries_[1] = static_cast<ServerId>(6 + random_.Below(4));
   }
 
-  void Step() {
+  void RunStep() {
     const int roll = random_.Below(100);
     if (roll < 30) return Arrive();
     if (roll < 62) return EndAttempt();
-    if (roll < 73) return EndProbe();
+    if (roll < 73) return EndHealthCheck();
     if (roll < 76) return ChangeList();
-    if (roll < 78) return LeaveRequest();
-    if (roll < 80) return OtherEvent();
-    Pass(1 + random_.Below(phase_ == kCrowded ? 4000 : 30000));
+    if (roll < 78) return AbandonRequest();
+    if (roll < 80) return RandomOtherEvent();
+    AdvanceClock(1 + random_.Below(phase_ == kOverload ? 4000 : 30000));
   }
 
   void Arrive() {
@@ -186,7 +186,7 @@
     if (random_.OneIn(2)) event.ms_since_write = random_.Below(300000) / 256.0;
     event.is_retry = random_.OneIn(5);
     requests_[event.id].class_index = event.class_index;
-    Take(event);
+    HandleEvent(event);
   }
 
   void EndAttempt() {
@@ -195,7 +195,7 @@
     const AttemptInFlight attempt = attempts_[static_cast<std::size_t>(index)];
     attempts_.erase(attempts_.begin() + index);
     RequestRecord& request = requests_[attempt.id];
-    if (phase_ == kCrowded && random_.OneIn(2)) Pass(random_.Below(200) * kMs);
+    if (phase_ == kOverload && random_.OneIn(2)) AdvanceClock(random_.Below(200) * kMs);
     AttemptEnded event;
     event.id = attempt.id;
     event.attempt = attempt.attempt;
@@ -204,15 +204,15 @@
     event.elapsed = now_ - attempt.sent;
     if (random_.OneIn(50)) event.elapsed = random_.Below(2000) * kMs;
     event.request_ended = event.status == Status::kOk || request.ended || random_.OneIn(40);
-    const bool told = event.status == Status::kOk || event.status == Status::kStaleOrWrongRole;
-    if (told && !random_.OneIn(10)) {
+    const bool responded = event.status == Status::kOk || event.status == Status::kStaleOrWrongRole;
+    if (responded && !random_.OneIn(10)) {
       event.role = IsPrimary(attempt.server) ? Role::kPrimary : Role::kReplica;
-      event.position_ms = Advance(attempt.server) / kMs;
+      event.position_ms = AdvancePosition(attempt.server) / kMs;
     }
-    if (told && settings_.load_report_source == LoadReportSource::kResponses)
+    if (responded && settings_.load_report_source == LoadReportSource::kResponses)
       event.report = DrawReport(attempt.server);
     if (event.request_ended) request.ended = true;
-    Take(event);
+    HandleEvent(event);
   }
 
   Status DrawStatus(ServerId server, int class_index) {
@@ -221,29 +221,29 @@
         Status::kConnectFailed,    Status::kTimeout, Status::kNotSent,    Status::kCancelled};
     const bool write = class_index >= 4;
     if (write && !IsPrimary(server)) return Status::kStaleOrWrongRole;
-    const bool faulty = server == faulty_;
+    const bool faulty = server == faulty_server_;
     if (phase_ == kFaultyServer && faulty) return random_.OneIn(2) ? Status::kReset : Status::kError;
     if (phase_ == kUnreachable && faulty) return random_.OneIn(2) ? Status::kTimeout : Status::kReset;
-    if (phase_ == kCrowded && random_.OneIn(4))
+    if (phase_ == kOverload && random_.OneIn(4))
       return random_.OneIn(2) ? Status::kOverloaded : Status::kTimeout;
-    if (phase_ == kLagging && random_.OneIn(2)) return Status::kStaleOrWrongRole;
+    if (phase_ == kReplicationLag && random_.OneIn(2)) return Status::kStaleOrWrongRole;
     const int chance = phase_ == kFailing ? 2 : 15;
     return random_.OneIn(chance) ? kFaults[random_.Below(8)] : Status::kOk;
   }
   bool IsPrimary(ServerId server) const { return server == primaries_[0] || server == primaries_[1]; }
 
-  // Moves the position that the server has applied, and returns it.
-  Micros Advance(ServerId server) {
+  // Advances the position that the server has applied, and returns it.
+  Micros AdvancePosition(ServerId server) {
     Micros& position = position_[server];
     const Micros behind = now_ - settings_.position_epoch - position;
-    const bool stands = phase_ == kLagging && server % 2 == 0;
-    if (!stands && behind > 0) position += behind * (50 + random_.Below(51)) / 100;
+    const bool is_stalled = phase_ == kReplicationLag && server % 2 == 0;
+    if (!is_stalled && behind > 0) position += behind * (50 + random_.Below(51)) / 100;
     return position;
   }
   Report DrawReport(ServerId server) {
     Report report;
-    const Micros position = Advance(server);
-    const int queue = phase_ == kCrowded ? random_.Below(12) : 0;
+    const Micros position = AdvancePosition(server);
+    const int queue = phase_ == kOverload ? random_.Below(12) : 0;
     for (const std::string& field : settings_.report_fields) {
       double value = 0;
       if (field == "x0") value = static_cast<double>(position) / 1e6;
@@ -256,22 +256,22 @@
     return report;
   }
 
-  void EndProbe() {
+  void EndHealthCheck() {
     HealthCheckEnded event;
     event.server = static_cast<ServerId>(1 + random_.Below(kServers + 1));
-    if (!probes_.empty()) {
-      const int index = random_.Below(static_cast<int>(probes_.size()));
-      event.server = probes_[static_cast<std::size_t>(index)];
-      probes_.erase(probes_.begin() + index);
+    if (!health_checks_.empty()) {
+      const int index = random_.Below(static_cast<int>(health_checks_.size()));
+      event.server = health_checks_[static_cast<std::size_t>(index)];
+      health_checks_.erase(health_checks_.begin() + index);
     } else if (!random_.OneIn(3)) {
       return;
     }
-    const bool fails = phase_ == kUnreachable && event.server == faulty_;
+    const bool fails = phase_ == kUnreachable && event.server == faulty_server_;
     if (fails || random_.OneIn(20)) event.status = random_.OneIn(3) ? Status::kOverloaded : Status::kTimeout;
     event.elapsed = random_.Below(20) * kMs;
     if (event.status == Status::kOk && event.server <= kServers) event.report = DrawReport(event.server);
     event.server = IdOf(event.server);
-    Take(event);
+    HandleEvent(event);
   }
 
   void ChangeList() {
@@ -281,97 +281,98 @@
     EndpointListUpdate event;
     event.kind = kKinds[random_.Below(6)];
     event.version = ++list_version_;
-    const bool whole = event.kind == EndpointListKind::kFull || event.kind == EndpointListKind::kCached;
-    const int first = whole ? 1 : 1 + random_.Below(kServers);
-    const int last = whole ? kServers : first;
+    const bool full_list = event.kind == EndpointListKind::kFull || event.kind == EndpointListKind::kCached;
+    const int first = full_list ? 1 : 1 + random_.Below(kServers);
+    const int last = full_list ? kServers : first;
     for (int id = first; id <= last && event.kind != EndpointListKind::kFailed; ++id) {
-      if (whole && random_.OneIn(8)) continue;
-      event.entries.push_back(DrawEntry(static_cast<ServerId>(id), whole));
+      if (full_list && random_.OneIn(8)) continue;
+      event.entries.push_back(DrawEntry(static_cast<ServerId>(id), full_list));
     }
-    Take(event);
+    HandleEvent(event);
   }
-  EndpointEntry DrawEntry(ServerId id, bool whole) {
+  EndpointEntry DrawEntry(ServerId id, bool full_list) {
     EndpointEntry entry = EntryOf(id, IsPrimary(id));
-    if (random_.OneIn(whole ? 12 : 3)) {
+    if (random_.OneIn(full_list ? 12 : 3)) {
       entry.state = random_.OneIn(2) ? ServerState::kDraining : ServerState::kGone;
     }
-    if (random_.OneIn(whole ? 20 : 3)) entry.boot_time = now_ - random_.Below(5000) * kMs;
+    if (random_.OneIn(full_list ? 20 : 3)) entry.boot_time = now_ - random_.Below(5000) * kMs;
     return entry;
   }
 
-  void LeaveRequest() {
+  void AbandonRequest() {
     if (newest_request_ == 0) return;
-    const RequestId back = static_cast<RequestId>(random_.Below(40));
-    const RequestId id = newest_request_ > back ? newest_request_ - back : 1;
+    const RequestId age = static_cast<RequestId>(random_.Below(40));
+    const RequestId id = newest_request_ > age ? newest_request_ - age : 1;
     requests_[id].ended = true;
-    if (random_.OneIn(4)) return Take(TimerFired{id});
-    Take(RequestCancelled{id});
+    if (random_.OneIn(4)) return HandleEvent(TimerFired{id});
+    HandleEvent(RequestCancelled{id});
   }
 
-  void OtherEvent() {
+  void RandomOtherEvent() {
     const ServerId server = IdOf(static_cast<ServerId>(1 + random_.Below(kServers + 1)));
     const Micros position = now_ - settings_.position_epoch - random_.Below(400) * kMs;
     switch (random_.Below(6)) {
       case 0: {
         const auto key = static_cast<std::uint64_t>(random_.Below(25));
-        return Take(SessionCommit{key, random_.Below(kGroups), position / kMs});
+        return HandleEvent(SessionCommit{key, random_.Below(kGroups), position / kMs});
       }
       case 1: {
         const Role role = static_cast<Role>(random_.Below(3));
         const Micros role_time = now_ - random_.Below(1000) * kMs;
-        return Take(ServerObservation{server, role, role_time, random_.OneIn(4) ? 0 : position / kMs});
+        return HandleEvent(ServerObservation{server, role, role_time, random_.OneIn(4) ? 0 : position / kMs});
       }
       case 2:
-        return Take(SessionSync{false, false});
+        return HandleEvent(SessionSync{false, false});
       case 3:
-        return Take(SessionSync{true, random_.OneIn(4)});
+        return HandleEvent(SessionSync{true, random_.OneIn(4)});
       case 4:
-        return Take(ResponseStarted{newest_request_, 0, server});
+        return HandleEvent(ResponseStarted{newest_request_, 0, server});
       default:
-        return Take(PeerMessage{1, "bytes"});
+        return HandleEvent(PeerMessage{1, "bytes"});
     }
   }
 
-  // Moves the clock and fires the timers that are due on the way.
-  void Pass(Micros span) {
+  // Advances the clock and fires the timers that become due.
+  void AdvanceClock(Micros span) {
     const Micros end = now_ + span;
     while (!timers_.empty() && timers_.begin()->first <= end) {
       const auto [when, token] = *timers_.begin();
       timers_.erase(timers_.begin());
       now_ = std::max(now_, when);
-      Take(TimerFired{token});
+      HandleEvent(TimerFired{token});
     }
     now_ = end;
   }
 
-  void Take(const Event& event) {
+  void HandleEvent(const Event& event) {
     std::vector<Action> actions;
     router_.handle(now_, event, actions);
     hash_.Add(actions.size());
-    for (const Action& action : actions) Note(action);
+    for (const Action& action : actions) RecordAction(action);
   }
-  void Note(const Action& action) {
+  void RecordAction(const Action& action) {
     ++outcome_.actions;
     ++outcome_.kinds[action.index()];
     hash_.Add(action.index());
     std::visit(FieldHasher{hash_}, action);
     if (const auto* timer = std::get_if<SetTimer>(&action))
       timers_.emplace(now_ + timer->delay, timer->token);
-    if (const auto* probe = std::get_if<CheckHealth>(&action)) probes_.push_back(NumberOf(probe->server));
+    if (const auto* check = std::get_if<CheckHealth>(&action))
+      health_checks_.push_back(NumberOf(check->server));
     if (const auto* send = std::get_if<Send>(&action)) {
       attempts_.push_back({send->id, requests_[send->id].sends++, NumberOf(send->server), now_});
     }
-    if (const auto* refuse = std::get_if<Reject>(&action)) requests_[refuse->id].ended = true;
+    if (const auto* reject = std::get_if<Reject>(&action)) requests_[reject->id].ended = true;
     if (const auto* fail = std::get_if<Fail>(&action)) requests_[fail->id].ended = true;
   }
-  // What the Router tells when asked.
+  // Adds the results of the Router's query functions to the hash.
   void HashQueries() {
     for (ServerId id = 1; id <= kServers + 1; ++id) {
       hash_.Add(router_.avoids(now_, IdOf(id)) ? 1 : 0);
-      const ServerObservation shown = router_.observation(IdOf(id));
-      hash_.Add(static_cast<std::uint64_t>(shown.role));
-      hash_.Add(Bits(shown.role_time));
-      hash_.Add(Bits(shown.position_ms));
+      const ServerObservation observed = router_.observation(IdOf(id));
+      hash_.Add(static_cast<std::uint64_t>(observed.role));
+      hash_.Add(Bits(observed.role_time));
+      hash_.Add(Bits(observed.position_ms));
     }
     for (const SessionCommit& session : router_.known_commits(0)) {
       hash_.Add(session.key);
@@ -385,15 +386,15 @@
   Random random_;
   Micros now_;
   ServerId first_server_;
-  Phase phase_ = kCalm;
-  ServerId faulty_ = 0;
+  Phase phase_ = kNormal;
+  ServerId faulty_server_ = 0;
   std::array<ServerId, kGroups> primaries_ = {1, 6};
   std::array<Micros, kServers + 2> position_{};
   std::uint64_t list_version_ = 1;
   RequestId newest_request_ = 0;
   std::map<RequestId, RequestRecord> requests_;
   std::vector<AttemptInFlight> attempts_;
-  std::vector<ServerId> probes_;
+  std::vector<ServerId> health_checks_;
   std::multimap<Micros, std::uint64_t> timers_;
   Hash hash_;
   Outcome outcome_;
@@ -401,4 +402,4 @@
 
 }  // namespace tulipyoke::oracle
 
-#endif  // TULIPYOKE_TESTS_POLICY_ORACLE_WORLD_HPP_
+#endif  // TULIPYOKE_TESTS_POLICY_SIMULATED_CLUSTER_HPP_
--- a/tests/router_harness.hpp
+++ b/tests/router_harness.hpp
@@ -1,4 +1,4 @@
-// A Router with a scripted world around it: events in, actions out.
+// A test harness for the Router: sends it events, keeps its timers and records its actions.
 #ifndef TULIPYOKE_TESTS_ROUTER_HARNESS_HPP_
 #define TULIPYOKE_TESTS_ROUTER_HARNESS_HPP_
 
@@ -18,7 +18,7 @@
 
 inline Settings TestSettings() {
   Settings s;
-  const auto add = [&](const char* name, Freshness freshness, Idempotency effect) {
+  const auto add = [&](const char* name, Freshness freshness, Idempotency idempotency) {
     ClassSettings c;
     c.name = name;
     c.freshness = freshness;
@@ -26,7 +26,7 @@
     c.latency_objective = 400 * kMs;
     c.deadline = 1000 * kMs;
     c.priority_weight = 1;
-    c.idempotency = effect;
+    c.idempotency = idempotency;
     c.retry_scope = RetryScope::kCell;
     c.retry_window = 600 * kMs;
     c.late_weight = freshness == Freshness::kWrite ? 0.5 : 0;
@@ -56,18 +56,18 @@
   return s;
 }
 
-inline EndpointEntry ReadyEntry(ServerId id, bool leads = false, int group = 0) {
+inline EndpointEntry ReadyEntry(ServerId id, bool is_primary = false, int group = 0) {
   EndpointEntry e;
   e.server = id;
   e.group = group;
   e.state = ServerState::kReady;
-  e.listed_primary = leads;
+  e.listed_primary = is_primary;
   return e;
 }
 
 class RouterHarness {
  public:
-  // Server 1 leads; 2 and 3 follow.
+  // Server 1 is the primary; 2 and 3 are replicas.
   explicit RouterHarness(Settings settings = TestSettings(), std::uint64_t seed = 1)
       : router_(settings, seed), now_(100 * kSecond) {
     UpdateList(EndpointListKind::kCached, {ReadyEntry(1, true), ReadyEntry(2), ReadyEntry(3)});
@@ -76,19 +76,19 @@
   std::vector<Action> Handle(const Event& event) {
     std::vector<Action> actions;
     router_.handle(now_, event, actions);
-    all_.insert(all_.end(), actions.begin(), actions.end());
+    all_actions_.insert(all_actions_.end(), actions.begin(), actions.end());
     for (const Action& a : actions) {
       if (const auto* t = std::get_if<SetTimer>(&a)) timers_.emplace(now_ + t->delay, t->token);
-      if (const auto* s = std::get_if<Send>(&a)) ++sent_[s->id];
+      if (const auto* s = std::get_if<Send>(&a)) ++attempt_counts_[s->id];
     }
     return actions;
   }
   std::vector<Action> UpdateList(EndpointListKind kind, std::vector<EndpointEntry> entries) {
     return Handle(EndpointListUpdate{kind, 1, std::move(entries)});
   }
-  // Moves the clock, firing timers on the way; returns what was done.
+  // Advances the clock and fires the timers that become due. Returns the actions of that time.
   std::vector<Action> Advance(Micros span) {
-    const std::size_t from = all_.size();
+    const std::size_t from = all_actions_.size();
     const Micros end = now_ + span;
     while (!timers_.empty() && timers_.begin()->first <= end) {
       const auto [when, token] = *timers_.begin();
@@ -97,7 +97,7 @@
       Handle(TimerFired{token});
     }
     now_ = end;
-    return {all_.begin() + static_cast<std::ptrdiff_t>(from), all_.end()};
+    return {all_actions_.begin() + static_cast<std::ptrdiff_t>(from), all_actions_.end()};
   }
   std::vector<Action> Arrive(RequestId id, int class_index, std::uint64_t key = 0,
                              Micros remaining = 1000 * kMs, int group = 0) {
@@ -109,7 +109,7 @@
     e.remaining = remaining;
     return Handle(e);
   }
-  // A health check's result `lag` behind the present.
+  // Reports a successful health check whose position lags by `lag`.
   std::vector<Action> ReportHealthCheck(ServerId id, Micros lag, bool primary = false) {
     HealthCheckEnded e;
     e.server = id;
@@ -122,17 +122,17 @@
     e.status = Status::kTimeout;
     return Handle(e);
   }
-  // The outcome of the request's newest attempt, or of the one given.
+  // Reports the outcome of the request's newest attempt, or of `attempt` if it is given.
   std::vector<Action> EndAttempt(RequestId id, ServerId server, Status status, Role role = Role::kUnknown,
                                  std::optional<std::int64_t> position_ms = {}, int attempt = -1,
-                                 bool over = false, Micros elapsed = 20 * kMs) {
+                                 bool request_ended_early = false, Micros elapsed = 20 * kMs) {
     AttemptEnded e;
     e.id = id;
-    e.attempt = attempt < 0 ? sent_[id] - 1 : attempt;
+    e.attempt = attempt < 0 ? attempt_counts_[id] - 1 : attempt;
     e.server = server;
     e.status = status;
     e.elapsed = elapsed;
-    e.request_ended = over || status == Status::kOk;
+    e.request_ended = request_ended_early || status == Status::kOk;
     e.role = role;
     e.position_ms = position_ms;
     return Handle(e);
@@ -145,8 +145,8 @@
   Router router_;
   Micros now_;
   std::multimap<Micros, std::uint64_t> timers_;
-  std::map<RequestId, int> sent_;
-  std::vector<Action> all_;
+  std::map<RequestId, int> attempt_counts_;
+  std::vector<Action> all_actions_;
 };
 
 template <typename T>
@@ -158,7 +158,7 @@
   return found;
 }
 
-// Where the request was sent by these actions; none: it was not.
+// The server that these actions send the request to, if any.
 inline std::optional<ServerId> SentTo(const std::vector<Action>& actions, RequestId id) {
   for (const Send& s : ActionsOfType<Send>(actions)) {
     if (s.id == id) return s.server;
@@ -166,15 +166,15 @@
   return std::nullopt;
 }
 
-// Replicas 2 and 3 show positions that are so far behind, and server 1 that it is the primary.
-inline void ReportPositions(RouterHarness& scene, Micros lag2 = 0, Micros lag3 = 0) {
-  scene.Advance(80 * kMs);  // health checks are due again then
-  scene.ReportHealthCheck(1, 0, true);
-  scene.ReportHealthCheck(2, lag2);
-  scene.ReportHealthCheck(3, lag3);
+// Reports health checks: server 1 is the primary, replicas 2 and 3 have the given lags.
+inline void ReportPositions(RouterHarness& harness, Micros lag2 = 0, Micros lag3 = 0) {
+  harness.Advance(80 * kMs);  // health checks are due again by then
+  harness.ReportHealthCheck(1, 0, true);
+  harness.ReportHealthCheck(2, lag2);
+  harness.ReportHealthCheck(3, lag3);
 }
 
-// Settings where servers hold a read until they have applied its position.
+// Settings in which servers delay a read until they have applied the position it needs.
 inline Settings WaitingGuardSettings() {
   Settings s = TestSettings();
   s.staleness_guard = StalenessGuard::kWait;
@@ -192,14 +192,14 @@
   return std::any_of(failures.begin(), failures.end(), [&](const Fail& f) { return f.id == id; });
 }
 
-// A session read that carries how long ago its session wrote.
-inline std::vector<Action> ArriveWithToken(RouterHarness& scene, RequestId id, double ms_since_write) {
+// Sends a session read that states how long ago its session wrote.
+inline std::vector<Action> ArriveWithToken(RouterHarness& harness, RequestId id, double ms_since_write) {
   RequestArrived e;
   e.id = id;
   e.class_index = kSessionRead;
   e.remaining = kSecond;
   e.ms_since_write = ms_since_write;
-  return scene.Handle(e);
+  return harness.Handle(e);
 }
 
 }  // namespace tulipyoke
