--- a/src/requests/request.hpp
+++ b/src/requests/request.hpp
@@ -24,7 +24,7 @@
   int queue_checks = 0;                                 // servers that were asked to report their queue
   int stale_rejections = 0;                             // replicas that rejected it as too stale
   ServerId queue_check_server = 0;                      // the server asked last
-  Micros queue_check_until = 0;                         // how long it waits for that report
+  Micros queue_check_until = 0;                         // it waits for that report until then
   Micros first_possible_execution = endpoints::kNever;  // earliest send that may have run or is in flight
   bool may_have_executed = false;
   bool parked = false;
--- a/tests/policy/primary_routing_test.cpp
+++ b/tests/policy/primary_routing_test.cpp
@@ -39,8 +39,8 @@
   EXPECT_TRUE(ActionsOfType<Send>(actions).empty());
 }
 
-// Guards against a request that waits for more than half of its time before any server gets it. The client
-// has better odds elsewhere if it is told early when to retry, and such a late rejection has a cost.
+// Guards against a request that waits for more than half of its time before any server gets it. If its client
+// is told earlier when to retry, it has better odds elsewhere, and such a late rejection has a cost.
 TEST(PrimaryRouting, UnroutableWriteIsRejectedBeforeHalfItsTime) {
   RouterHarness harness;
   harness.Arrive(1, kKeyedWrite);
