--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -147,7 +147,7 @@
       {{"off", StalenessGuard::kOff}, {"reject", StalenessGuard::kReject}, {"hold", StalenessGuard::kWait}});
   settings.catch_up_wait = reader.Integer("domain.catch_up_wait");
   settings.token_mode = reader.ChoiceValue<TokenMode>(
-      "domain.token_mode", {{"router", TokenMode::kRemembered}, {"client", TokenMode::kCarried}});
+      "domain.token_mode", {{"router", TokenMode::kStoredByRouter}, {"client", TokenMode::kSentByClient}});
   settings.listed_role = reader.ChoiceValue<ListedRole>(
       "domain.role_listed",
       {{"off", ListedRole::kNever}, {"initial", ListedRole::kInitial}, {"delayed", ListedRole::kDelayed}});
@@ -180,7 +180,7 @@
   settings.overload_multiple = reader.Number("rules.tip_multiple");
   settings.overload_window = reader.Integer("rules.fall");
   settings.drain_timeout = reader.Integer("rules.drain_grace");
-  settings.only_draining_binds = reader.Flag("rules.dropped_stay_open");
+  settings.use_gone_servers = reader.Flag("rules.dropped_stay_open");
 }
 
 void ReadCosts(const TableReader& reader, Settings& settings) {
