--- a/src/config/listing_json.cpp
+++ b/src/config/listing_json.cpp
@@ -38,7 +38,7 @@
     entry.group = static_cast<int>(GetOr<double>(json, "cell", 0));
     entry.capacity_hint = GetOr<double>(json, "size", 1);
     entry.started_unix_ms = static_cast<std::int64_t>(GetOr<double>(json, "up_since_ms", 0));
-    entry.leads = GetOr<std::string>(json, "replication", "") == "primary";
+    entry.is_primary = GetOr<std::string>(json, "replication", "") == "primary";
     const std::optional<ServerState> state = StateOf(GetOr<std::string>(json, "phase", "in_service"));
     if (entry.id.empty() || !state) return std::nullopt;
     entry.state = *state;
--- a/src/dispatch/client_request.hpp
+++ b/src/dispatch/client_request.hpp
@@ -28,13 +28,13 @@
 
 struct ClientRequest {
   int class_index = 0, tenant = 0, group = 0;
-  std::uint64_t key = 0;                      // identifies the session; 0: none
-  Micros wait = 0;                            // until the client gives up
-  std::optional<std::int64_t> after_unix_ms;  // the session's last write, if the client states it
-  bool repeat = false;                        // the client has sent this request before
+  std::uint64_t session_key = 0;                   // identifies the session; 0: none
+  Micros timeout = 0;                              // until the client gives up
+  std::optional<std::int64_t> last_write_unix_ms;  // the session's last write, if the client states it
+  bool is_retry = false;                           // the client has sent this request before
   std::shared_ptr<const RequestPayload> payload;
   // When its last byte arrived, from which `wait` counts; nullopt: now.
-  std::optional<Micros> arrived = {};
+  std::optional<Micros> arrival_time = {};
   // A request that the client sent earlier on the same connection and whose write this one has to see.
   std::optional<RequestId> preceding_write = {};
 };
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -66,9 +66,9 @@
 
 RequestId Dispatcher::Submit(Micros now, const ClientRequest& request) {
   const RequestId id = next_request_++;
-  const Micros arrived = std::min(now, request.arrived.value_or(now));
-  const Micros deadline = std::max(now, std::min(arrived + request.wait, drain_deadline_));
-  in_flight_.AddRequest(id, {request.class_index, 0, deadline, request.key, request.payload});
+  const Micros arrival_time = std::min(now, request.arrival_time.value_or(now));
+  const Micros deadline = std::max(now, std::min(arrival_time + request.timeout, drain_deadline_));
+  in_flight_.AddRequest(id, {request.class_index, 0, deadline, request.session_key, request.payload});
   ++counters_.received;
   Trace(now, [&] {
     return trace::RequestReceived{std::string(ClientRequestId(request.payload.get())),
@@ -76,39 +76,39 @@
                                   ClassOf(request.class_index).name,
                                   request.group,
                                   deadline - now,
-                                  now - arrived,
+                                  now - arrival_time,
                                   request.preceding_write};
   });
   timers_.Schedule(deadline + options_.settings.response_slack / kOverdueSlackDivisor,
                    TimerQueue::Kind::kRequestOverdue, id);
   if (request.preceding_write && in_flight_.HasRequest(*request.preceding_write)) {
-    write_barrier_.Add(id, *request.preceding_write, request, arrived);
+    write_barrier_.Add(id, *request.preceding_write, request, arrival_time);
     // After half of its time the module gives up a request that was not sent: there is nothing to wait for.
-    timers_.Schedule(arrived + (deadline - arrived) / 2, TimerQueue::Kind::kWriteWaitExpired, id);
+    timers_.Schedule(arrival_time + (deadline - arrival_time) / 2, TimerQueue::Kind::kWriteWaitExpired, id);
     return id;
   }
-  DeliverEvent(now, ArrivalOf(now, id, request, arrived));
+  DeliverEvent(now, ArrivalOf(now, id, request, arrival_time));
   return id;
 }
 
 RequestArrived Dispatcher::ArrivalOf(Micros now, RequestId id, const ClientRequest& request,
-                                     Micros arrived) const {
+                                     Micros arrival_time) const {
   RequestArrived event;
   event.id = id;
   event.class_index = request.class_index;
   event.tenant = request.tenant;
   event.group = request.group;
-  event.key = request.key;
+  event.key = request.session_key;
   event.remaining = std::max<Micros>(0, in_flight_.requests().at(id).deadline - now);
-  event.waited = now - arrived;
-  event.is_retry = request.repeat;
-  if (request.after_unix_ms) event.ms_since_write = WriteAgeMs(now, *request.after_unix_ms);
+  event.waited = now - arrival_time;
+  event.is_retry = request.is_retry;
+  if (request.last_write_unix_ms) event.ms_since_write = WriteAgeMs(now, *request.last_write_unix_ms);
   return event;
 }
 
 void Dispatcher::DeliverWaiting(Micros now, RequestId id) {
   const std::optional<WriteBarrier::Waiting> waiting = write_barrier_.Take(id);
-  if (waiting) DeliverEvent(now, ArrivalOf(now, id, waiting->request, waiting->arrived));
+  if (waiting) DeliverEvent(now, ArrivalOf(now, id, waiting->request, waiting->arrival_time));
 }
 
 void Dispatcher::ClientDisconnected(Micros now, RequestId id) {
--- a/src/dispatch/dispatcher.hpp
+++ b/src/dispatch/dispatcher.hpp
@@ -76,18 +76,18 @@
   void SetDrainDeadline(Micros deadline);
 
   // Hot restart: what this process and its peer process tell each other while both run.
-  void EnableReplication(bool enabled) { replication_.Enable(enabled); }
+  void SetReplicationEnabled(bool enabled) { replication_.SetEnabled(enabled); }
   std::vector<SessionUpdate> SessionSnapshot() const { return replication_.Sessions(); }
   std::vector<ServerUpdate> ServerSnapshot() const { return replication_.Servers(); }
   void ApplyPeerUpdate(Micros now, const SessionUpdate& update);
   void ApplyPeerUpdate(Micros now, const ServerUpdate& update);
   // Until the peer's sessions are known, and for good once they are lost, a session without a known commit
   // may still have written.
-  void SetSessionsKnown(Micros now, SessionSync known) { DeliverEvent(now, known); }
+  void SetSessionSync(Micros now, SessionSync sync) { DeliverEvent(now, sync); }
 
   // Runs the timers that have expired.
   void Tick(Micros now);
-  std::optional<Micros> NextTimer() const { return timers_.NextExpiry(); }
+  std::optional<Micros> NextTimerExpiry() const { return timers_.NextExpiry(); }
 
   std::vector<Command> TakeCommands() { return std::exchange(commands_, {}); }
   const Settings& settings() const { return options_.settings; }
@@ -98,7 +98,7 @@
 
  private:
   void DeliverEvent(Micros now, Event event);
-  RequestArrived ArrivalOf(Micros now, RequestId id, const ClientRequest& request, Micros arrived) const;
+  RequestArrived ArrivalOf(Micros now, RequestId id, const ClientRequest& request, Micros arrival_time) const;
   // Tells the module of a request that has waited for a preceding write, if it still waits.
   void DeliverWaiting(Micros now, RequestId id);
   void FinishOperation(Micros now, OperationId id, Outcome outcome);
--- a/src/dispatch/endpoint_directory.cpp
+++ b/src/dispatch/endpoint_directory.cpp
@@ -79,7 +79,7 @@
   entry.state = listed.state;
   entry.capacity_hint = listed.capacity_hint;
   entry.boot_time = listed.started_unix_ms * kMicrosPerMs;
-  entry.listed_primary = listed.leads;
+  entry.listed_primary = listed.is_primary;
   return entry;
 }
 
--- a/src/dispatch/endpoint_list.hpp
+++ b/src/dispatch/endpoint_list.hpp
@@ -16,7 +16,7 @@
   ServerState state = ServerState::kGone;
   double capacity_hint = 1;
   std::int64_t started_unix_ms = 0;  // 0: long ago
-  bool leads = false;                // listed as the primary of its group
+  bool is_primary = false;           // listed as the primary of its group
 
   bool operator==(const ListedServer&) const = default;
 };
--- a/src/dispatch/in_flight_table.cpp
+++ b/src/dispatch/in_flight_table.cpp
@@ -20,7 +20,7 @@
   operation.request = id;
   operation.attempt = request.attempts_started;
   operation.class_index = request.class_index;
-  operation.key = request.key;
+  operation.session_key = request.session_key;
   attempts_[{id, operation.attempt}] = operation_id;
   ++request.attempts_started;
   return operation_id;
--- a/src/dispatch/in_flight_table.hpp
+++ b/src/dispatch/in_flight_table.hpp
@@ -20,7 +20,7 @@
   int class_index = 0;
   int attempts_started = 0;
   Micros deadline = 0;
-  std::uint64_t key = 0;  // of the session; 0: none
+  std::uint64_t session_key = 0;  // of the session; 0: none
   std::shared_ptr<const RequestPayload> payload;
   // When the first of the finished attempts that ran, or may have run, was started.
   std::optional<Micros> first_possible_run = {};
@@ -36,7 +36,7 @@
   RequestId request = 0;
   int attempt = 0;
   int class_index = 0;
-  std::uint64_t key = 0;
+  std::uint64_t session_key = 0;
   bool written = false;  // the server's socket has taken its last byte
 
   bool is_probe() const { return kind == Kind::kProbe; }
--- a/src/dispatch/peer_replication.cpp
+++ b/src/dispatch/peer_replication.cpp
@@ -30,8 +30,8 @@
 void PeerReplication::ReplicateOutcome(const Operation& operation, Role role, bool committed,
                                        std::vector<Command>& commands) {
   if (!enabled_) return;
-  if (committed && operation.key != 0) {
-    for (const SessionCommit& session : router_.known_commits(operation.key)) {
+  if (committed && operation.session_key != 0) {
+    for (const SessionCommit& session : router_.known_commits(operation.session_key)) {
       PushFront(commands, ToUpdate(session));
     }
   }
@@ -42,7 +42,7 @@
 }
 
 SessionCommit PeerReplication::ToEvent(const SessionUpdate& update) const {
-  return {update.key, update.group, positions_.RoundUp(update.commit_unix_ms)};
+  return {update.session_key, update.group, positions_.RoundUp(update.commit_unix_ms)};
 }
 
 std::optional<ServerObservation> PeerReplication::ToEvent(const ServerUpdate& update) const {
--- a/src/dispatch/peer_replication.hpp
+++ b/src/dispatch/peer_replication.hpp
@@ -22,7 +22,7 @@
   PeerReplication(const Router& router, EndpointDirectory& directory, const PositionScale& positions)
       : router_(router), directory_(directory), positions_(positions) {}
 
-  void Enable(bool enabled) { enabled_ = enabled; }
+  void SetEnabled(bool enabled) { enabled_ = enabled; }
 
   // Everything that a new peer process has to know.
   std::vector<SessionUpdate> Sessions() const;
--- a/src/dispatch/peer_update.hpp
+++ b/src/dispatch/peer_update.hpp
@@ -12,7 +12,7 @@
 
 // The latest commit of a session.
 struct SessionUpdate {
-  std::uint64_t key = 0;  // 0: all sessions of the group that have no update of their own
+  std::uint64_t session_key = 0;  // 0: all sessions of the group that have no update of their own
   int group = 0;
   std::int64_t commit_unix_ms = 0;
 };
--- a/src/dispatch/write_barrier.hpp
+++ b/src/dispatch/write_barrier.hpp
@@ -18,12 +18,12 @@
  public:
   struct Waiting {
     ClientRequest request;
-    Micros arrived = 0;
+    Micros arrival_time = 0;
   };
 
   // The request waits for the end of `write`.
-  void Add(RequestId id, RequestId write, const ClientRequest& request, Micros arrived) {
-    waiting_[id] = {write, {request, arrived}};
+  void Add(RequestId id, RequestId write, const ClientRequest& request, Micros arrival_time) {
+    waiting_[id] = {write, {request, arrival_time}};
   }
   // That request has ended: it waits no more, and what waits for it may go on.
   void RequestEnded(RequestId id) {
--- a/src/dnssd/instance.cpp
+++ b/src/dnssd/instance.cpp
@@ -43,7 +43,7 @@
   listed.state = attributes.draining ? ServerState::kDraining : ServerState::kReady;
   listed.capacity_hint = attributes.size;
   listed.started_unix_ms = attributes.started_unix_ms;
-  listed.leads = attributes.primary;
+  listed.is_primary = attributes.primary;
   return listed;
 }
 
--- a/src/hot_restart/message.cpp
+++ b/src/hot_restart/message.cpp
@@ -42,7 +42,7 @@
     return std::string(kDescriptorsKind) + " " + std::to_string(usage.descriptors);
   }
   std::string operator()(const SessionUpdate& session) const {
-    return std::string(kSessionKind) + " " + std::to_string(session.key) + " " +
+    return std::string(kSessionKind) + " " + std::to_string(session.session_key) + " " +
            std::to_string(session.group) + " " + std::to_string(session.commit_unix_ms);
   }
   std::string operator()(const ServerUpdate& server) const {
@@ -68,7 +68,7 @@
 
 std::optional<HotRestartMessage> ParseSession(std::string_view rest) {
   SessionUpdate session;
-  if (!TakeNumber(rest, session.key)) return std::nullopt;
+  if (!TakeNumber(rest, session.session_key)) return std::nullopt;
   if (!TakeNumber(rest, session.group)) return std::nullopt;
   if (!TakeNumber(rest, session.commit_unix_ms)) return std::nullopt;
   if (!rest.empty()) return std::nullopt;
--- a/src/listener/client_messages.cpp
+++ b/src/listener/client_messages.cpp
@@ -170,17 +170,17 @@
   request.class_index = class_index;
   request.tenant = tenant == tenants_.end() ? 0 : tenant->second;
   request.group = statement.cluster;
-  if (is_session_read || is_write) request.key = SessionKey(statement.key);
-  request.wait = statement.timeout_ms * kMicrosPerMilli;
-  request.arrived = client->message_arrived;
-  request.preceding_write = PrecedingWrite(*client, request.key);
-  if (is_session_read) request.after_unix_ms = statement.read_after_ms;
-  request.repeat = statement.is_retry;
+  if (is_session_read || is_write) request.session_key = SessionKey(statement.key);
+  request.timeout = statement.timeout_ms * kMicrosPerMilli;
+  request.arrival_time = client->message_arrived;
+  request.preceding_write = PrecedingWrite(*client, request.session_key);
+  if (is_session_read) request.last_write_unix_ms = statement.read_after_ms;
+  request.is_retry = statement.is_retry;
 
   PendingResponse& response = AddPendingResponse(*client);
   response.client_request_id = statement.request_id;
   open_request_ids_.insert(response.client_request_id);
-  if (is_write) response.written_session = request.key;
+  if (is_write) response.written_session = request.session_key;
   if (!client->statement_reservation) {
     response.statement_bytes = text.size();
     statement_bytes_ += text.size();
--- a/src/server/hot_restart_coordinator.cpp
+++ b/src/server/hot_restart_coordinator.cpp
@@ -56,8 +56,8 @@
   if (!hot_restart_.ConnectToOlder()) return Serve();
   LogInfo("takes_over", config_.name + " takes over from a running process", {{"name", config_.name}});
   SetQuota(kShareBesideAnother);
-  dispatcher_.EnableReplication(true);
-  dispatcher_.SetSessionsKnown(clock_.Now(), {.complete = false});
+  dispatcher_.SetReplicationEnabled(true);
+  dispatcher_.SetSessionSync(clock_.Now(), {.complete = false});
   AwaitStateOfOlder();
 }
 
@@ -87,7 +87,7 @@
 void HotRestartCoordinator::OnStep(PeerProcess peer, HotRestartStep step) {
   if (peer == PeerProcess::kOlder) {
     if (step != HotRestartStep::kSynced) return;
-    dispatcher_.SetSessionsKnown(clock_.Now(), {.complete = true});
+    dispatcher_.SetSessionSync(clock_.Now(), {.complete = true});
     return Serve();
   }
   if (step == HotRestartStep::kHello) return ShareWithNewer();
@@ -98,7 +98,7 @@
   LogInfo("newer_process", "a newer process has come: half of the room is left to it");
   // The quota first: both processes together hold no more than one may.
   SetQuota(kShareBesideAnother);
-  dispatcher_.EnableReplication(true);
+  dispatcher_.SetReplicationEnabled(true);
   for (const ServerUpdate& server : dispatcher_.ServerSnapshot()) hot_restart_.SendToNewer(server);
   for (const SessionUpdate& session : dispatcher_.SessionSnapshot()) hot_restart_.SendToNewer(session);
   hot_restart_.SendStep(PeerProcess::kNewer, HotRestartStep::kSynced);
@@ -136,7 +136,7 @@
           std::string("the ") + NameOf(peer) + " process " + (finished ? "has ended" : "broke off"));
   if (hot_restart_.alone()) {
     SetQuota(kWholeShare);
-    dispatcher_.EnableReplication(false);
+    dispatcher_.SetReplicationEnabled(false);
   }
   if (!finished) InvalidateSessions();
   if (peer == PeerProcess::kOlder) return Serve();
@@ -149,9 +149,9 @@
 // until the last of these writes must have ended; after that, whatever session is not known here has been
 // lost.
 void HotRestartCoordinator::InvalidateSessions() {
-  dispatcher_.SetSessionsKnown(clock_.Now(), {.complete = false});
+  dispatcher_.SetSessionSync(clock_.Now(), {.complete = false});
   sessions_timer_.ExpireAfter(std::chrono::microseconds(LongestDeadline(config_.settings)), [this] {
-    dispatcher_.SetSessionsKnown(clock_.Now(), {.complete = true, .lost = true});
+    dispatcher_.SetSessionSync(clock_.Now(), {.complete = true, .lost = true});
   });
 }
 
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -119,7 +119,7 @@
 }
 
 void Server::ArmDispatcherTimer() {
-  const std::optional<Micros> due = dispatcher_.NextTimer();
+  const std::optional<Micros> due = dispatcher_.NextTimerExpiry();
   if (!due || due == dispatcher_timer_armed_for_) return;
   dispatcher_timer_armed_for_ = due;
   dispatcher_timer_.expires_at(clock_.ToSteady(*due));
--- a/tests/dispatch/command_oracle_test.cpp
+++ b/tests/dispatch/command_oracle_test.cpp
@@ -100,7 +100,7 @@
     server.capacity_hint = 1 + static_cast<double>(random_.Below(3));
     server.started_unix_ms =
         random_.OneIn(2) ? 0 : (now_ - static_cast<Micros>(random_.Below(20)) * kSecond) / 1000;
-    server.leads = index < 2;
+    server.is_primary = index < 2;
     return server;
   }
 
@@ -140,10 +140,11 @@
     request.class_index = static_cast<int>(random_.Below(6));
     request.tenant = static_cast<int>(random_.Below(2));
     request.group = static_cast<int>(random_.Below(2));
-    request.key = random_.Below(20);
-    request.wait = static_cast<Micros>(random_.Below(900)) * kMs;
-    if (random_.OneIn(5)) request.after_unix_ms = now_ / 1000 - static_cast<std::int64_t>(random_.Below(50));
-    request.repeat = random_.OneIn(10);
+    request.session_key = random_.Below(20);
+    request.timeout = static_cast<Micros>(random_.Below(900)) * kMs;
+    if (random_.OneIn(5))
+      request.last_write_unix_ms = now_ / 1000 - static_cast<std::int64_t>(random_.Below(50));
+    request.is_retry = random_.OneIn(10);
     const std::string text = "SELECT 1 /* id=" + std::to_string(++submitted_) + ", x */";
     if (!random_.OneIn(10)) {
       request.payload = std::make_shared<const RequestPayload>(RequestPayload{text, 7, 1});
@@ -211,12 +212,12 @@
   void ExchangeWithPeer() {
     switch (random_.Below(5)) {
       case 0:
-        return dispatcher_.EnableReplication(!random_.OneIn(4));
+        return dispatcher_.SetReplicationEnabled(!random_.OneIn(4));
       case 1:
-        return dispatcher_.SetSessionsKnown(now_, {.complete = random_.OneIn(2), .lost = random_.OneIn(4)});
+        return dispatcher_.SetSessionSync(now_, {.complete = random_.OneIn(2), .lost = random_.OneIn(4)});
       case 2: {
         SessionUpdate update;
-        update.key = random_.Below(20);
+        update.session_key = random_.Below(20);
         update.group = static_cast<int>(random_.Below(2));
         update.commit_unix_ms = now_ / 1000 - static_cast<std::int64_t>(random_.Below(100));
         return dispatcher_.ApplyPeerUpdate(now_, update);
@@ -234,7 +235,7 @@
   }
 
   void RunTimersUntil(Micros end) {
-    for (auto due = dispatcher_.NextTimer(); due && *due <= end; due = dispatcher_.NextTimer()) {
+    for (auto due = dispatcher_.NextTimerExpiry(); due && *due <= end; due = dispatcher_.NextTimerExpiry()) {
       now_ = std::max(now_, *due);
       dispatcher_.Tick(now_);
       CollectCommands();
@@ -247,7 +248,7 @@
       ++commands_;
       std::visit([this](const auto& what) { Hash(what); }, command);
     }
-    command_hash_.Signed(dispatcher_.NextTimer().value_or(0));
+    command_hash_.Signed(dispatcher_.NextTimerExpiry().value_or(0));
     command_hash_.Number(dispatcher_.in_progress());
   }
 
@@ -256,7 +257,7 @@
     // The order of the sessions is not specified.
     std::vector<SessionUpdate> sessions = dispatcher_.SessionSnapshot();
     std::sort(sessions.begin(), sessions.end(), [](const SessionUpdate& a, const SessionUpdate& b) {
-      return a.key != b.key ? a.key < b.key : a.group < b.group;
+      return a.session_key != b.session_key ? a.session_key < b.session_key : a.group < b.group;
     });
     for (const SessionUpdate& session : sessions) HashUpdate(session);
     for (const ServerUpdate& server : dispatcher_.ServerSnapshot()) HashUpdate(server);
@@ -334,7 +335,7 @@
 
   void HashUpdate(const SessionUpdate& update) {
     command_hash_.Number(1);
-    command_hash_.Number(update.key);
+    command_hash_.Number(update.session_key);
     command_hash_.Signed(update.group);
     command_hash_.Signed(update.commit_unix_ms);
   }
--- a/tests/dispatch/dispatcher_harness.hpp
+++ b/tests/dispatch/dispatcher_harness.hpp
@@ -27,15 +27,15 @@
     server.id = id;
     server.address = address;
     server.state = ServerState::kReady;
-    server.leads = id == "p";
+    server.is_primary = id == "p";
     return server;
   }
   // All requests are of one session.
-  RequestId Submit(int class_index, Micros wait = kSecond) {
+  RequestId Submit(int class_index, Micros timeout = kSecond) {
     ClientRequest request;
     request.class_index = class_index;
-    request.wait = wait;
-    request.key = 5;
+    request.timeout = timeout;
+    request.session_key = 5;
     const RequestId id = dispatcher.Submit(now, request);
     CollectCommands();
     return id;
@@ -47,7 +47,7 @@
   // Moves the clock, running each timer at its time.
   void Advance(Micros span) {
     const Micros end = now + span;
-    for (auto due = dispatcher.NextTimer(); due && *due <= end; due = dispatcher.NextTimer()) {
+    for (auto due = dispatcher.NextTimerExpiry(); due && *due <= end; due = dispatcher.NextTimerExpiry()) {
       now = std::max(now, *due);
       dispatcher.Tick(now);
       CollectCommands();
--- a/tests/dispatch/router_harness.hpp
+++ b/tests/dispatch/router_harness.hpp
@@ -60,11 +60,11 @@
     dispatcher.UpdateEndpoints(clock.Now(), EndpointList{++list_version_, false, {server}});
     RunTimers();
   }
-  RequestId Submit(const std::string& statement, Micros wait = 20'000'000,
-                   std::optional<std::int64_t> after_unix_ms = {}) {
+  RequestId Submit(const std::string& statement, Micros timeout = 20'000'000,
+                   std::optional<std::int64_t> last_write_unix_ms = {}) {
     ClientRequest request;
-    request.wait = wait;
-    request.after_unix_ms = after_unix_ms;
+    request.timeout = timeout;
+    request.last_write_unix_ms = last_write_unix_ms;
     request.payload = std::make_shared<const RequestPayload>(RequestPayload{statement, statement.size(), 0});
     const RequestId id = dispatcher.Submit(clock.Now(), request);
     RunTimers();
--- a/tests/dispatch/session_consistency_test.cpp
+++ b/tests/dispatch/session_consistency_test.cpp
@@ -54,7 +54,7 @@
   settings.position_epoch = 1'767'225'000 * kSecond + 500;
   DispatcherHarness writer(settings), reader(settings);
   const std::int64_t unix_ms = writer.now / 1000;
-  writer.dispatcher.EnableReplication(true);
+  writer.dispatcher.SetReplicationEnabled(true);
   writer.Submit(kKeyedWrite);
   ASSERT_EQ(writer.attempts.size(), 1u);
   writer.dispatcher.OperationFinished(writer.now, writer.attempts[0].operation_id,
@@ -73,7 +73,7 @@
   ASSERT_EQ(updates.size(), 1u);
   EXPECT_GE(updates[0].commit_unix_ms, unix_ms);
   ASSERT_EQ(writer.dispatcher.SessionSnapshot().size(), 1u);
-  EXPECT_EQ(writer.dispatcher.SessionSnapshot()[0].key, updates[0].key);
+  EXPECT_EQ(writer.dispatcher.SessionSnapshot()[0].session_key, updates[0].session_key);
   reader.dispatcher.ApplyPeerUpdate(reader.now, updates[0]);
   for (const char* id : {"q", "r"})
     reader.dispatcher.ApplyPeerUpdate(reader.now, ServerUpdate{id, Role::kReplica, reader.now, unix_ms - 40});
--- a/tests/dispatch/write_barrier_test.cpp
+++ b/tests/dispatch/write_barrier_test.cpp
@@ -20,21 +20,21 @@
     write = Submit(kKeyedWrite, {});
     Collect();
   }
-  static ListedServer Listed(const std::string& id, bool leads) {
+  static ListedServer Listed(const std::string& id, bool is_primary) {
     ListedServer server;
     server.id = id;
     server.address = "127.0.0.1:1";
     server.state = ServerState::kReady;
-    server.leads = leads;
+    server.is_primary = is_primary;
     return server;
   }
   RequestId Submit(int class_index, std::optional<RequestId> preceding_write,
-                   std::optional<Micros> arrived = {}) {
+                   std::optional<Micros> arrival_time = {}) {
     ClientRequest request;
     request.class_index = class_index;
-    request.wait = kSecond;
-    request.key = 5;
-    request.arrived = arrived;
+    request.timeout = kSecond;
+    request.session_key = 5;
+    request.arrival_time = arrival_time;
     request.preceding_write = preceding_write;
     return dispatcher.Submit(now, request);
   }
@@ -46,7 +46,7 @@
     }
   }
   void PassUntil(Micros when) {
-    for (auto due = dispatcher.NextTimer(); due && *due <= when; due = dispatcher.NextTimer()) {
+    for (auto due = dispatcher.NextTimerExpiry(); due && *due <= when; due = dispatcher.NextTimerExpiry()) {
       now = std::max(now, *due);
       dispatcher.Tick(now);
       Collect();
--- a/tests/dnssd/event_oracle_test.cpp
+++ b/tests/dnssd/event_oracle_test.cpp
@@ -220,7 +220,7 @@
     hash_.AddNumber(static_cast<std::uint64_t>(server.state));
     hash_.AddText(std::to_string(server.capacity_hint));
     hash_.AddSigned(server.started_unix_ms);
-    hash_.AddNumber(server.leads ? 1 : 0);
+    hash_.AddNumber(server.is_primary ? 1 : 0);
   }
   void AddView() {
     hash_.AddOptional(browser_.serial());
--- a/tests/hot_restart/golden_bytes_test.cpp
+++ b/tests/hot_restart/golden_bytes_test.cpp
@@ -72,12 +72,12 @@
 TEST(HotRestartGoldenBytes, RecordedSessionsAreParsed) {
   const auto largest = ParseHotRestartMessage("session 18446744073709551615 3 1767225600123");
   ASSERT_TRUE(largest && std::holds_alternative<SessionUpdate>(*largest));
-  EXPECT_EQ(std::get<SessionUpdate>(*largest).key, kLargestKey);
+  EXPECT_EQ(std::get<SessionUpdate>(*largest).session_key, kLargestKey);
   EXPECT_EQ(std::get<SessionUpdate>(*largest).group, 3);
   EXPECT_EQ(std::get<SessionUpdate>(*largest).commit_unix_ms, 1767225600123);
   const auto negative = ParseHotRestartMessage("session 0 -1 -5");
   ASSERT_TRUE(negative && std::holds_alternative<SessionUpdate>(*negative));
-  EXPECT_EQ(std::get<SessionUpdate>(*negative).key, 0u);
+  EXPECT_EQ(std::get<SessionUpdate>(*negative).session_key, 0u);
   EXPECT_EQ(std::get<SessionUpdate>(*negative).group, -1);
   EXPECT_EQ(std::get<SessionUpdate>(*negative).commit_unix_ms, -5);
 }
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -22,7 +22,7 @@
       : hot_restart(io, folder, "n/0", seed,
                     {[this](PeerProcess, HotRestartStep step) { steps.push_back(step); },
                      [this](const DescriptorUsage& usage) { descriptors = usage.descriptors; },
-                     [this](const SessionUpdate& news) { keys.push_back(news.key); },
+                     [this](const SessionUpdate& news) { keys.push_back(news.session_key); },
                      [this](const ServerUpdate& news) { servers.push_back(news.id); },
                      [this](PeerProcess, DisconnectReason reason) { disconnects.push_back(reason); }}) {}
 
--- a/tests/hot_restart/message_test.cpp
+++ b/tests/hot_restart/message_test.cpp
@@ -16,7 +16,7 @@
   }
   const auto session =
       std::get<SessionUpdate>(*ParseHotRestartMessage("session 18446744073709551615 3 1767225600123"));
-  EXPECT_EQ(session.key, 18446744073709551615u);
+  EXPECT_EQ(session.session_key, 18446744073709551615u);
   EXPECT_EQ(session.group, 3);
   EXPECT_EQ(session.commit_unix_ms, 1767225600123);
   EXPECT_EQ(ToLine(session), "session 18446744073709551615 3 1767225600123\n");
--- a/tests/listener/large_value_test.cpp
+++ b/tests/listener/large_value_test.cpp
@@ -83,7 +83,7 @@
     config.settings.classes[1].name = "put";
     config.settings.classes[1].freshness = Freshness::kWrite;
     config.settings.listed_role = ListedRole::kInitial;
-    config.cached_listing.servers[0].leads = true;
+    config.cached_listing.servers[0].is_primary = true;
     config.memory_bytes = std::size_t{48} << 20;
     config.connect_timeout = 5'000'000;  // the loop may be busy with these for longer than usual
   });
--- a/tests/membership/event_oracle_test.cpp
+++ b/tests/membership/event_oracle_test.cpp
@@ -59,7 +59,7 @@
     Add(static_cast<std::uint64_t>(server.state));
     Add(std::bit_cast<std::uint64_t>(server.capacity_hint));
     Add(static_cast<std::uint64_t>(server.started_unix_ms));
-    Add(static_cast<std::uint64_t>(server.leads));
+    Add(static_cast<std::uint64_t>(server.is_primary));
   }
   void Add(const EndpointList& listing) {
     Add(listing.version);
@@ -208,7 +208,7 @@
     server.state = state;
     server.capacity_hint = 1.0 + static_cast<double>(random_.Below(4)) / 4.0;
     server.started_unix_ms = RandomStart();
-    server.leads = random_.OneIn(8);
+    server.is_primary = random_.OneIn(8);
     return server;
   }
 
--- a/tests/upstream/cancellation_test.cpp
+++ b/tests/upstream/cancellation_test.cpp
@@ -30,7 +30,7 @@
 TEST_F(UpstreamPoolTest, ARequestWhoseClientLeavesInTheSameIterationIsNotSent) {
   OpenIdleConnection();
   ClientRequest request;
-  request.wait = 20'000'000;
+  request.timeout = 20'000'000;
   request.payload = std::make_shared<const RequestPayload>(RequestPayload{"second", 6, 0});
   const RequestId id = harness.dispatcher.Submit(harness.clock.Now(), request);
   harness.Disconnect(id);
