--- a/src/dispatch/commands.hpp
+++ b/src/dispatch/commands.hpp
@@ -1,4 +1,4 @@
-// The commands that the Dispatcher issues. Its owner executes them in order.
+// The commands that the Dispatcher issues. The owner of the Dispatcher executes them in order.
 #ifndef TULIPYOKE_SRC_DISPATCH_COMMANDS_HPP_
 #define TULIPYOKE_SRC_DISPATCH_COMMANDS_HPP_
 
@@ -16,19 +16,19 @@
 
 namespace tulipyoke {
 
-// Identifies one attempt or probe from its start to its outcome; never reused.
+// Identifies an attempt or a probe until its outcome is reported. Ids are never reused.
 using OperationId = std::uint64_t;
 
 inline constexpr Micros kNoDeadline = std::numeric_limits<Micros>::max();
 
-// For the server side. Each StartAttempt and StartProbe is reported back once with
-// Dispatcher::OperationFinished, unless a CancelOperation comes first.
+// Commands to the upstream pool. Each StartAttempt and StartProbe is answered by exactly one call of
+// Dispatcher::OperationFinished, unless it is cancelled first by a CancelOperation.
 struct StartAttempt {
   OperationId operation_id = 0;
   ServerId server = 0;
   std::shared_ptr<const RequestPayload> payload;
   Micros deadline = 0;
-  Micros latest_start = 0;  // not sent by then, it must not be sent at all: its outcome is Status::kMoot
+  Micros latest_start = 0;  // an attempt not sent by then is not sent at all: Status::kNotSent
 };
 struct StartProbe {
   OperationId operation_id = 0;
@@ -41,7 +41,7 @@
   ServerId server = 0;
   std::string address;
 };
-// The server drains or has left the list: nothing is started on it until the next SetAddress.
+// The server is draining or no longer listed. No operation is started on it until the next SetAddress.
 struct RemoveServer {
   ServerId server = 0;
 };
@@ -49,25 +49,26 @@
   ServerId server = 0;
 };
 
-// For the client side.
+// Command to the client listener.
 struct SendResponse {
   RequestId id = 0;
   Response response;
 };
 
-// For service discovery: poll now.
+// Command to service discovery: poll the endpoint list now.
 struct RefreshEndpointList {};
 
-// For the other process of this router, if there is one. It has to be sent before the response behind it.
+// Command to hot restart: send the update to the peer process, if there is one, before the response that
+// follows this command.
 struct ReplicateToPeer {
   PeerUpdate update;
 };
 
-// For the log: a message of the decision module.
+// Command to the log: a message of the routing policy.
 struct WriteLog {
   std::string text;
 };
-// For the log: one step of a request, if tracing is on.
+// Command to the log, issued only if tracing is on: a traced event of a request, a probe or an endpoint list.
 struct TraceStep {
   Micros when = 0;
   trace::Event event;
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -6,25 +6,24 @@
 namespace tulipyoke {
 namespace {
 
-// A request that the module leaves unanswered gets its response from the Dispatcher after half of the answer
-// slack, so that the response still reaches the client within the slack.
+// The Dispatcher answers a request that the policy has left unanswered once half of the response slack after
+// the deadline has passed, so that the response still reaches the client within the slack.
 constexpr Micros kOverdueSlackDivisor = 2;
 
-// The age of a session's last write in milliseconds; never 0, which would mean that there is none.
+// The age of a session's last write in milliseconds. Always positive, because 0 means that there is no write.
 double WriteAgeMs(Micros now, std::int64_t written_unix_ms) {
   constexpr double kMicrosPerMs = 1e3;
-  constexpr double kLeastAgeMs = 0.001;
-  return std::max(kLeastAgeMs,
-                  static_cast<double>(now) / kMicrosPerMs - static_cast<double>(written_unix_ms));
+  constexpr double kMinAgeMs = 0.001;
+  return std::max(kMinAgeMs, static_cast<double>(now) / kMicrosPerMs - static_cast<double>(written_unix_ms));
 }
 
-std::vector<ClassStatistics> StatisticsFor(const std::vector<ClassSettings>& classes) {
+std::vector<ClassStatistics> InitialClassStatistics(const std::vector<ClassSettings>& classes) {
   std::vector<ClassStatistics> statistics;
-  for (const ClassSettings& of_class : classes) statistics.push_back({of_class.name});
+  for (const ClassSettings& settings : classes) statistics.push_back({settings.name});
   return statistics;
 }
 
-trace::RequestFinished TraceOf(RequestId id, const Response& response) {
+trace::RequestFinished MakeTraceEvent(RequestId id, const Response& response) {
   if (const auto* rejected = std::get_if<RejectedResponse>(&response)) {
     return {id, trace::Result::kRejected, rejected->retry_after};
   }
@@ -32,15 +31,15 @@
   return {id, failed ? trace::Result::kFailed : trace::Result::kServed, 0};
 }
 
-trace::EndpointsUpdated TraceOf(const EndpointList& list) {
+trace::EndpointsUpdated MakeTraceEvent(const EndpointList& list) {
   trace::EndpointsUpdated event;
   event.complete = list.complete;
   for (const ListedServer& listed : list.servers) event.servers.push_back({listed.id, listed.state});
   return event;
 }
 
-// Whether the command starts this attempt.
-bool StartsAttempt(const Command& command, OperationId id) {
+// Whether the command starts the attempt with this id.
+bool IsStartOf(const Command& command, OperationId id) {
   const auto* start = std::get_if<StartAttempt>(&command);
   return start && start->operation_id == id;
 }
@@ -49,23 +48,23 @@
 
 Dispatcher::Dispatcher(DispatcherOptions options)
     : options_(std::move(options)),
-      positions_(options_.settings.position_epoch),
-      outcome_events_(options_.settings, positions_),
+      position_scale_(options_.settings.position_epoch),
+      outcome_translator_(options_.settings, position_scale_),
       router_(options_.settings, options_.seed),
       directory_(options_.zones, options_.kinds),
-      replication_(router_, directory_, positions_),
-      class_statistics_(StatisticsFor(options_.settings.classes)) {}
+      replication_(router_, directory_, position_scale_),
+      class_statistics_(InitialClassStatistics(options_.settings.classes)) {}
 
-const ClassSettings& Dispatcher::ClassOf(int class_index) const {
+const ClassSettings& Dispatcher::ClassSettingsFor(int class_index) const {
   return options_.settings.classes[static_cast<std::size_t>(class_index)];
 }
 
-void Dispatcher::Start(Micros now, const EndpointList& known) {
-  DeliverEvent(now, directory_.Apply(known, EndpointListKind::kCached, commands_));
+void Dispatcher::Start(Micros now, const EndpointList& cached) {
+  DeliverEvent(now, directory_.Apply(cached, EndpointListKind::kCached, commands_));
 }
 
 RequestId Dispatcher::Submit(Micros now, const ClientRequest& request) {
-  const RequestId id = next_request_++;
+  const RequestId id = next_request_id_++;
   const Micros arrival_time = std::min(now, request.arrival_time.value_or(now));
   const Micros deadline = std::max(now, std::min(arrival_time + request.timeout, drain_deadline_));
   in_flight_.AddRequest(id, {request.class_index, 0, deadline, request.session_key, request.payload});
@@ -73,7 +72,7 @@
   Trace(now, [&] {
     return trace::RequestReceived{std::string(ClientRequestId(request.payload.get())),
                                   id,
-                                  ClassOf(request.class_index).name,
+                                  ClassSettingsFor(request.class_index).name,
                                   request.group,
                                   deadline - now,
                                   now - arrival_time,
@@ -83,16 +82,17 @@
                    TimerQueue::Kind::kRequestOverdue, id);
   if (request.preceding_write && in_flight_.HasRequest(*request.preceding_write)) {
     write_barrier_.Add(id, *request.preceding_write, request, arrival_time);
-    // After half of its time the module gives up a request that was not sent: there is nothing to wait for.
+    // The policy rejects a request that is still unsent after half of its timeout, so deferring it for longer
+    // is useless.
     timers_.Schedule(arrival_time + (deadline - arrival_time) / 2, TimerQueue::Kind::kWriteWaitExpired, id);
     return id;
   }
-  DeliverEvent(now, ArrivalOf(now, id, request, arrival_time));
+  DeliverEvent(now, MakeArrivalEvent(now, id, request, arrival_time));
   return id;
 }
 
-RequestArrived Dispatcher::ArrivalOf(Micros now, RequestId id, const ClientRequest& request,
-                                     Micros arrival_time) const {
+RequestArrived Dispatcher::MakeArrivalEvent(Micros now, RequestId id, const ClientRequest& request,
+                                            Micros arrival_time) const {
   RequestArrived event;
   event.id = id;
   event.class_index = request.class_index;
@@ -106,9 +106,9 @@
   return event;
 }
 
-void Dispatcher::DeliverWaiting(Micros now, RequestId id) {
-  const std::optional<WriteBarrier::Waiting> waiting = write_barrier_.Take(id);
-  if (waiting) DeliverEvent(now, ArrivalOf(now, id, waiting->request, waiting->arrival_time));
+void Dispatcher::DeliverDeferred(Micros now, RequestId id) {
+  const std::optional<WriteBarrier::DeferredRequest> deferred = write_barrier_.Take(id);
+  if (deferred) DeliverEvent(now, MakeArrivalEvent(now, id, deferred->request, deferred->arrival_time));
 }
 
 void Dispatcher::ClientDisconnected(Micros now, RequestId id) {
@@ -125,12 +125,12 @@
   CancelUnsent(now, id);
 }
 
-// No client waits for the request any more. An attempt that waits for a connection or is partly written must
-// not go out later. It has never run, because a server begins nothing before the last byte.
+// Cancels the attempts of an ended request that are waiting for a connection or are only partly written. They
+// have not been executed, because a server does not execute a request before its last byte.
 void Dispatcher::CancelUnsent(Micros now, RequestId id) {
   for (const OperationId unsent : in_flight_.UnwrittenAttempts(id)) {
     const bool still_queued =
-        std::erase_if(commands_, [&](const Command& command) { return StartsAttempt(command, unsent); }) > 0;
+        std::erase_if(commands_, [&](const Command& command) { return IsStartOf(command, unsent); }) > 0;
     if (!still_queued) commands_.push_back(CancelOperation{unsent});
     FinishOperation(now, unsent, Outcome{.status = Status::kNotSent});
   }
@@ -173,8 +173,8 @@
     streams_.Add(id, operation, stream);
     commands_.push_back(SendResponse{operation.request, StreamingResponse{stream}});
   }
-  // The attempt's latency is the time to its first bytes. The commit of a write, which is stated behind the
-  // value, is taken to be of this moment: rounding up is safe.
+  // The attempt's latency is the time to its first byte. The commit position of a write follows the value, so
+  // the commit is taken to be of now: rounding up is safe.
   FinishOperation(now, id, Outcome{});
   return stream;
 }
@@ -183,10 +183,10 @@
   const Operation operation = streams_.Find(id)->operation;
   const std::shared_ptr<ResponseStream> stream = streams_.Find(id)->stream;
   streams_.CloseOperation(id);
-  DeliverEvent(now, outcome_events_.ToServerShown(now, operation, outcome));
-  const bool committed = outcome_events_.IsCommit(operation, outcome);
+  DeliverEvent(now, outcome_translator_.ToServerObservation(now, operation, outcome));
+  const bool committed = outcome_translator_.IsCommit(operation, outcome);
   replication_.ReplicateOutcome(operation, outcome.role, committed, commands_);
-  // Either call may finish the client side as well and so remove the entry.
+  // Either call may deliver the end of the stream to the client and thus remove the entry.
   if (outcome.status == Status::kOk) {
     stream->Complete(std::move(outcome.result.command_tag));
   } else {
@@ -204,38 +204,39 @@
 void Dispatcher::FinishProbe(Micros now, const Operation& operation, const Outcome& outcome) {
   ++counters_.probe_outcomes[IndexOf(outcome.status)];
   Trace(now, [&] {
-    return trace::ProbeFinished{directory_.IdOf(operation.server), outcome.status, now - operation.started};
+    return trace::ProbeFinished{directory_.IdOf(operation.server), outcome.status,
+                                now - operation.start_time};
   });
-  DeliverEvent(now, outcome_events_.ToProbeEnded(now, operation, outcome));
+  DeliverEvent(now, outcome_translator_.ToHealthCheckEnded(now, operation, outcome));
 }
 
 void Dispatcher::FinishAttempt(Micros now, const Operation& operation, Outcome outcome) {
   ++counters_.attempt_outcomes[IndexOf(outcome.status)];
   Trace(now, [&] {
     return trace::AttemptFinished{operation.request, operation.attempt, directory_.IdOf(operation.server),
-                                  outcome.status,    outcome.role,      now - operation.started};
+                                  outcome.status,    outcome.role,      now - operation.start_time};
   });
   PendingRequest* request = in_flight_.FindRequest(operation.request);
-  if (request && !CannotHaveRun(outcome.status)) {
-    const Micros earlier = request->first_possible_run.value_or(operation.started);
-    request->first_possible_run = std::min(earlier, operation.started);
+  if (request && !IsCertainlyNotExecuted(outcome.status)) {
+    const Micros earlier = request->first_possible_execution.value_or(operation.start_time);
+    request->first_possible_execution = std::min(earlier, operation.start_time);
   }
-  AttemptEnded event = outcome_events_.ToAttemptEnded(now, operation, outcome);
-  const bool committed = outcome_events_.IsCommit(operation, outcome);
+  AttemptEnded event = outcome_translator_.ToAttemptEnded(now, operation, outcome);
+  const bool committed = outcome_translator_.IsCommit(operation, outcome);
   if (outcome.status == Status::kOk) {
-    RespondFinally(now, operation.request, ServedResponse{std::move(outcome.result)});
+    SendFinalResponse(now, operation.request, ServedResponse{std::move(outcome.result)});
   }
   event.request_ended = !in_flight_.HasRequest(operation.request);
   DeliverEvent(now, std::move(event));
   replication_.ReplicateOutcome(operation, outcome.role, committed, commands_);
 }
 
-// The only place that sends a final response, except for streams: the first response ends the request.
-void Dispatcher::RespondFinally(Micros now, RequestId id, Response response) {
+// Sends all final responses except streaming ones. Removes the request, so that it gets only one response.
+void Dispatcher::SendFinalResponse(Micros now, RequestId id, Response response) {
   const PendingRequest* request = in_flight_.FindRequest(id);
   if (!request) return;
   CountResponse(request->class_index, response);
-  Trace(now, [&] { return TraceOf(id, response); });
+  Trace(now, [&] { return MakeTraceEvent(id, response); });
   in_flight_.RemoveRequest(id);
   write_barrier_.RequestEnded(id);
   if (std::holds_alternative<ServedResponse>(response)) ++counters_.served;
@@ -258,18 +259,18 @@
 
 void Dispatcher::UpdateEndpoints(Micros now, const EndpointList& list) {
   ++counters_.endpoint_lists;
-  Trace(now, [&] { return TraceOf(list); });
+  Trace(now, [&] { return MakeTraceEvent(list); });
   const EndpointListKind kind = list.complete ? EndpointListKind::kFull : EndpointListKind::kDelta;
   DeliverEvent(now, directory_.Apply(list, kind, commands_));
 }
 
 void Dispatcher::SetDrainDeadline(Micros deadline) {
   drain_deadline_ = deadline;
-  // The module decides how each request ends: one that was never sent is rejected, so that its client may
+  // The timer lets the policy end each request: one that was never sent is rejected, so that its client may
   // retry elsewhere.
   for (const auto& [id, request] : in_flight_.requests()) {
     if (request.deadline <= deadline) continue;
-    timers_.Schedule(deadline, TimerQueue::Kind::kModuleTimer, id);
+    timers_.Schedule(deadline, TimerQueue::Kind::kPolicyTimer, id);
     timers_.Schedule(deadline, TimerQueue::Kind::kRequestOverdue, id);
   }
 }
@@ -288,13 +289,13 @@
       case TimerQueue::Kind::kOperationTimeout:
         OnOperationTimeout(now, timer->id);
         break;
-      case TimerQueue::Kind::kModuleTimer:
-        // At a drain deadline the module ends a request that waits, too: it has to know of it for that.
-        DeliverWaiting(now, timer->id);
+      case TimerQueue::Kind::kPolicyTimer:
+        // At the drain deadline the policy also ends deferred requests, so it must be given them first.
+        DeliverDeferred(now, timer->id);
         DeliverEvent(now, TimerFired{timer->id});
         break;
       case TimerQueue::Kind::kWriteWaitExpired:
-        DeliverWaiting(now, timer->id);
+        DeliverDeferred(now, timer->id);
         break;
       case TimerQueue::Kind::kRequestOverdue:
         OnRequestOverdue(now, timer->id);
@@ -307,21 +308,22 @@
   const Operation* operation = in_flight_.FindOperation(id);
   if (!operation) return;
   commands_.push_back(CancelOperation{id});
-  // An attempt that waits for its connection or is partly written has not run and never will.
-  const bool may_run = operation->is_probe() || operation->written;
-  FinishOperation(now, id, Outcome{.status = may_run ? Status::kTimeout : Status::kConnectFailed});
+  // An attempt that is waiting for a connection or is partly written has not been executed and never will be.
+  const bool may_have_been_executed = operation->is_probe() || operation->written;
+  FinishOperation(now, id,
+                  Outcome{.status = may_have_been_executed ? Status::kTimeout : Status::kConnectFailed});
 }
 
-// The module should have answered the request; the client must not wait any longer.
+// Fallback for a request that the policy has not answered in time.
 void Dispatcher::OnRequestOverdue(Micros now, RequestId id) {
   const PendingRequest* request = in_flight_.FindRequest(id);
   if (!request) return;
   if (now > request->deadline) ++counters_.overdue;
-  RespondFinally(now, id, FailedResponse{});
+  SendFinalResponse(now, id, FailedResponse{});
   DeliverEvent(now, RequestCancelled{id});
 }
 
-// An event that arises while another one is handled waits for its turn: the module is never re-entered.
+// Queues an event that is raised while another one is handled, because the policy must not be re-entered.
 void Dispatcher::DeliverEvent(Micros now, Event event) {
   events_.push_back(std::move(event));
   if (delivering_) return;
@@ -335,11 +337,11 @@
     for (const Action& action : actions) {
       std::visit([&](const auto& typed_action) { Execute(now, typed_action); }, action);
     }
-    // A request that waited for a write goes on once the module has been told of all that the write did.
+    // Deferred requests follow once the policy has handled all events of the write that they waited for.
     while (events_.empty()) {
-      const std::optional<RequestId> released = write_barrier_.NextReleased();
-      if (!released) break;
-      DeliverWaiting(now, *released);
+      const std::optional<RequestId> ready = write_barrier_.NextReady();
+      if (!ready) break;
+      DeliverDeferred(now, *ready);
     }
   }
   delivering_ = false;
--- a/src/dispatch/dispatcher.hpp
+++ b/src/dispatch/dispatcher.hpp
@@ -1,6 +1,6 @@
-// Connects the client side with the server side and is the only caller of the decision module. Requests and
-// outcomes come in, independent of protocols; the module's decisions go out as commands. Owns the requests in
-// progress, the attempts, the timers and the rule that each request gets exactly one final response.
+// Passes requests and the outcomes of attempts to the routing policy (Router), of which it is the only
+// caller, and turns the actions of the policy into commands. Independent of protocols. Keeps track of
+// requests, attempts and timers. Each request gets exactly one final response, unless its client disconnects.
 #ifndef TULIPYOKE_SRC_DISPATCH_DISPATCHER_HPP_
 #define TULIPYOKE_SRC_DISPATCH_DISPATCHER_HPP_
 
@@ -19,7 +19,7 @@
 #include "src/dispatch/endpoint_list.hpp"
 #include "src/dispatch/in_flight_table.hpp"
 #include "src/dispatch/outcome.hpp"
-#include "src/dispatch/outcome_events.hpp"
+#include "src/dispatch/outcome_translator.hpp"
 #include "src/dispatch/peer_replication.hpp"
 #include "src/dispatch/peer_update.hpp"
 #include "src/dispatch/position_scale.hpp"
@@ -36,56 +36,58 @@
 struct DispatcherOptions {
   Settings settings;
   std::uint64_t seed = 0;
-  std::vector<std::string> zones, kinds;  // the names in endpoint lists, by the module's index
+  std::vector<std::string> zones, kinds;  // as named in endpoint lists; the policy uses their index
   Micros probe_timeout = 0;
-  bool trace = false;  // issue a TraceStep for each step of each request
+  bool trace = false;  // issue TraceStep commands
 };
 
-// Not thread-safe. No I/O: the caller passes the time and executes the commands. All times are microseconds
-// of one clock that runs evenly and was set to Unix time once.
+// Not thread-safe. Does no I/O: the caller passes the time and executes the commands. All times are in
+// microseconds of a monotonic clock that started at Unix time.
 class Dispatcher {
  public:
   explicit Dispatcher(DispatcherOptions options);
-  Dispatcher(const Dispatcher&) = delete;  // its parts refer to each other
+  Dispatcher(const Dispatcher&) = delete;  // members hold references to each other
   Dispatcher& operator=(const Dispatcher&) = delete;
 
-  // Must be the first call; `known` are the servers as they were last known.
-  void Start(Micros now, const EndpointList& known);
+  // Must be called before any other method. `cached` is the last known list of servers.
+  void Start(Micros now, const EndpointList& cached);
 
-  // The client side.
+  // Called by the client listener.
   RequestId Submit(Micros now, const ClientRequest& request);
   void ClientDisconnected(Micros now, RequestId id);
-  // Counts a response that the client side gave by itself, to a request that was never submitted.
+  // Counts a response that the listener sent to a request that it did not submit.
   void CountLocalResponse(int class_index, const Response& response) { CountResponse(class_index, response); }
-  // The client has received all of a streaming response, or as much of it as came.
+  // The listener has sent the client all of a streaming response, or all that was received before an abort.
   void StreamDelivered(RequestId id);
 
-  // The server side. An operation that is over is ignored.
-  // The server's socket has taken the last byte of the attempt. Ignored for probes.
+  // Called by the upstream pool. Calls for an operation that has already finished are ignored.
+  // The last byte of the attempt has been written to the server's socket. Ignored for probes.
   void OperationWritten(OperationId id);
   void OperationFinished(Micros now, OperationId id, Outcome outcome);
-  // A large value has begun to arrive for the attempt. It is the response from here on, whatever becomes of
-  // it, and no deadline ends it; OperationFinished reports its end. Null: no client waits for it any more.
+  // The attempt has begun to receive a large value, which becomes the response of the request even if it is
+  // aborted later. No deadline applies from then on; OperationFinished reports the end. Returns null if no
+  // client is waiting for the response any more.
   std::shared_ptr<ResponseStream> BeginStream(Micros now, OperationId id, const std::string& row_description,
                                               std::size_t size);
 
-  // Service discovery.
+  // Called by service discovery.
   void UpdateEndpoints(Micros now, const EndpointList& list);
 
-  // Graceful shutdown: every request gets its final response by then, also one that is submitted later.
+  // For graceful shutdown: every request, including one submitted later, gets its final response by then.
+  // Streaming responses that have begun are not ended.
   void SetDrainDeadline(Micros deadline);
 
-  // Hot restart: what this process and its peer process tell each other while both run.
+  // For hot restart: the state that this process and its peer process exchange while both run.
   void SetReplicationEnabled(bool enabled) { replication_.SetEnabled(enabled); }
-  std::vector<SessionUpdate> SessionSnapshot() const { return replication_.Sessions(); }
-  std::vector<ServerUpdate> ServerSnapshot() const { return replication_.Servers(); }
+  std::vector<SessionUpdate> SessionSnapshot() const { return replication_.SessionUpdates(); }
+  std::vector<ServerUpdate> ServerSnapshot() const { return replication_.ServerUpdates(); }
   void ApplyPeerUpdate(Micros now, const SessionUpdate& update);
   void ApplyPeerUpdate(Micros now, const ServerUpdate& update);
-  // Until the peer's sessions are known, and for good once they are lost, a session without a known commit
-  // may still have written.
+  // Tells the policy whether the sessions of the peer are known. Until they are, and permanently once they
+  // are lost, a session without a known commit may have written.
   void SetSessionSync(Micros now, SessionSync sync) { DeliverEvent(now, sync); }
 
-  // Runs the timers that have expired.
+  // Handles all timers that have expired.
   void Tick(Micros now);
   std::optional<Micros> NextTimerExpiry() const { return timers_.NextExpiry(); }
 
@@ -93,35 +95,37 @@
   const Settings& settings() const { return options_.settings; }
   const DispatchCounters& counters() const { return counters_; }
   DispatchStatistics StatisticsAt(Micros now) const;
-  // Requests without a final response, and streaming responses that the client has not received completely.
+  // The number of requests without a final response and of streaming responses that are not fully delivered.
   std::size_t in_progress() const { return in_flight_.requests().size() + streams_.size(); }
 
  private:
   void DeliverEvent(Micros now, Event event);
-  RequestArrived ArrivalOf(Micros now, RequestId id, const ClientRequest& request, Micros arrival_time) const;
-  // Tells the module of a request that has waited for a preceding write, if it still waits.
-  void DeliverWaiting(Micros now, RequestId id);
+  RequestArrived MakeArrivalEvent(Micros now, RequestId id, const ClientRequest& request,
+                                  Micros arrival_time) const;
+  // Passes the request to the policy if it is still deferred. The wait for its preceding write is then over,
+  // also if the write has not ended.
+  void DeliverDeferred(Micros now, RequestId id);
   void FinishOperation(Micros now, OperationId id, Outcome outcome);
   void FinishProbe(Micros now, const Operation& operation, const Outcome& outcome);
   void FinishAttempt(Micros now, const Operation& operation, Outcome outcome);
   void FinishStream(Micros now, RequestId id, Outcome outcome);
   void CancelUnsent(Micros now, RequestId id);
-  void RespondFinally(Micros now, RequestId id, Response response);
+  void SendFinalResponse(Micros now, RequestId id, Response response);
   void CountResponse(int class_index, const Response& response);
   void OnOperationTimeout(Micros now, OperationId id);
   void OnRequestOverdue(Micros now, RequestId id);
-  // Reports an attempt as moot that the module asked for too late.
-  void RefuseAttempt(Micros now, const Send& action, PendingRequest* request);
-  // Until when an attempt of the request may be sent.
+  // Reports an attempt that the policy requested too late, or beyond the limit of attempts, as not sent.
+  void ReportUnsentAttempt(Micros now, const Send& action, PendingRequest* request);
+  // The latest time at which an attempt of the request may be sent.
   Micros LatestStart(RequestId id, const PendingRequest& request) const;
-  const ClassSettings& ClassOf(int class_index) const;
-  // `make_event` returns the trace event; it is called only if tracing is on.
+  const ClassSettings& ClassSettingsFor(int class_index) const;
+  // Issues the trace event that `make_event` returns. `make_event` is called only if tracing is on.
   template <typename MakeEvent>
   void Trace(Micros now, const MakeEvent& make_event) {
     if (options_.trace) commands_.push_back(TraceStep{now, make_event()});
   }
 
-  // The actions of the module.
+  // Execute an action of the policy.
   void Execute(Micros now, const Send& action);
   void Execute(Micros now, const Reject& action);
   void Execute(Micros now, const Fail& action);
@@ -135,8 +139,8 @@
   void Execute(Micros now, const FetchEndpointList& action);
 
   const DispatcherOptions options_;
-  const PositionScale positions_;
-  const OutcomeEvents outcome_events_;
+  const PositionScale position_scale_;
+  const OutcomeTranslator outcome_translator_;
   Router router_;
   EndpointDirectory directory_;
   PeerReplication replication_;
@@ -148,9 +152,9 @@
   std::vector<ClassStatistics> class_statistics_;
   std::uint64_t written_attempts_ = 0;
   std::vector<Command> commands_;
-  std::deque<Event> events_;  // not yet delivered to the module
+  std::deque<Event> events_;  // not yet delivered to the policy
   bool delivering_ = false;
-  RequestId next_request_ = 1;
+  RequestId next_request_id_ = 1;
   Micros drain_deadline_ = kNoDeadline;
 };
 
--- a/src/dispatch/dispatcher_actions.cpp
+++ b/src/dispatch/dispatcher_actions.cpp
@@ -1,4 +1,4 @@
-// How the Dispatcher executes the actions of the decision module.
+// Executes the actions of the routing policy.
 #include <algorithm>
 
 #include "src/dispatch/dispatcher.hpp"
@@ -7,10 +7,10 @@
 
 void Dispatcher::Execute(Micros now, const Send& action) {
   PendingRequest* request = in_flight_.FindRequest(action.id);
-  const int most_attempts = options_.settings.max_attempts;
-  const bool too_many = request && most_attempts > 0 && request->attempts_started >= most_attempts;
-  if (!request || too_many || now > request->deadline) return RefuseAttempt(now, action, request);
-  // Before the attempt is added: it must not count as an earlier one of itself.
+  const int max_attempts = options_.settings.max_attempts;
+  const bool too_many = request && max_attempts > 0 && request->attempts_started >= max_attempts;
+  if (!request || too_many || now > request->deadline) return ReportUnsentAttempt(now, action, request);
+  // Must precede AddAttempt, because the new attempt would count as one of the earlier attempts.
   const Micros latest_start = LatestStart(action.id, *request);
   const int attempt = request->attempts_started;
   const OperationId operation_id = in_flight_.AddAttempt(now, action.id, *request, action.server);
@@ -24,7 +24,7 @@
   commands_.push_back(StartAttempt{operation_id, action.server, request->payload, deadline, latest_start});
 }
 
-void Dispatcher::RefuseAttempt(Micros now, const Send& action, PendingRequest* request) {
+void Dispatcher::ReportUnsentAttempt(Micros now, const Send& action, PendingRequest* request) {
   AttemptEnded event;
   event.id = action.id;
   event.server = action.server;
@@ -39,21 +39,23 @@
 }
 
 // A request with an idempotency key may be retried only within a window after the first attempt that may have
-// run. The module keeps to the window when it decides; an attempt whose connection is slow to open must not
-// be sent after it either.
+// been executed. The policy observes the window when it decides on a retry; this limit also covers an attempt
+// that waits for its connection until after the window.
 Micros Dispatcher::LatestStart(RequestId id, const PendingRequest& request) const {
-  const ClassSettings& of_class = ClassOf(request.class_index);
-  if (of_class.idempotency != Idempotency::kWithKey) return kNoDeadline;
-  const Micros first_run = std::min(request.first_possible_run.value_or(kNoDeadline),
-                                    in_flight_.EarliestStart(id).value_or(kNoDeadline));
-  return first_run == kNoDeadline ? kNoDeadline : first_run + of_class.retry_window;
+  const ClassSettings& class_settings = ClassSettingsFor(request.class_index);
+  if (class_settings.idempotency != Idempotency::kWithKey) return kNoDeadline;
+  const Micros first_execution = std::min(request.first_possible_execution.value_or(kNoDeadline),
+                                          in_flight_.EarliestAttemptStart(id).value_or(kNoDeadline));
+  return first_execution == kNoDeadline ? kNoDeadline : first_execution + class_settings.retry_window;
 }
 
 void Dispatcher::Execute(Micros now, const Reject& action) {
-  RespondFinally(now, action.id, RejectedResponse{action.retry_after});
+  SendFinalResponse(now, action.id, RejectedResponse{action.retry_after});
 }
 
-void Dispatcher::Execute(Micros now, const Fail& action) { RespondFinally(now, action.id, FailedResponse{}); }
+void Dispatcher::Execute(Micros now, const Fail& action) {
+  SendFinalResponse(now, action.id, FailedResponse{});
+}
 
 void Dispatcher::Execute(Micros now, const Cancel& action) {
   const std::optional<OperationId> operation_id = in_flight_.FindAttempt(action.id, action.attempt);
@@ -63,9 +65,9 @@
 }
 
 void Dispatcher::Execute(Micros now, const SetTimer& action) {
-  // Never expires in the turn in which it is set.
-  constexpr Micros kLeastDelay = 1;
-  timers_.Schedule(now + std::max(action.delay, kLeastDelay), TimerQueue::Kind::kModuleTimer, action.token);
+  // At least 1, so that the timer does not expire in the Tick in which it is set.
+  constexpr Micros kMinDelay = 1;
+  timers_.Schedule(now + std::max(action.delay, kMinDelay), TimerQueue::Kind::kPolicyTimer, action.token);
 }
 
 void Dispatcher::Execute(Micros now, const CheckHealth& action) {
@@ -79,12 +81,12 @@
   commands_.push_back(CloseIdleConnections{action.server});
 }
 
-// Routers have no connection to each other.
+// Ignored: routers are not connected to each other.
 void Dispatcher::Execute(Micros, const Gossip&) {}
 
 void Dispatcher::Execute(Micros, const Log& action) { commands_.push_back(WriteLog{action.text}); }
 
-// The watch of service discovery is always on.
+// Ignored: service discovery always watches the endpoint list.
 void Dispatcher::Execute(Micros, const WatchEndpointList&) {}
 
 void Dispatcher::Execute(Micros, const FetchEndpointList&) { commands_.push_back(RefreshEndpointList{}); }
--- a/src/dispatch/endpoint_directory.cpp
+++ b/src/dispatch/endpoint_directory.cpp
@@ -10,7 +10,7 @@
 
 constexpr Micros kMicrosPerMs = 1000;
 
-// The index of the name, or 0 for an unknown one.
+// Returns the index of the name, or 0 if the name is unknown.
 int IndexOfName(const std::vector<std::string>& names, const std::string& name) {
   const auto found = std::find(names.begin(), names.end(), name);
   return found == names.end() ? 0 : static_cast<int>(found - names.begin());
@@ -29,8 +29,8 @@
     const bool gone = listed.state == ServerState::kGone;
     if (gone && !entries_.contains(listed.id)) continue;
     Entry& entry = FindOrAdd(listed.id);
-    UpdateServerSide(entry, listed, commands);
-    update.entries.push_back(ToModuleEntry(listed, entry.server));
+    UpdateUpstream(entry, listed, commands);
+    update.entries.push_back(ToEndpointEntry(listed, entry.server));
     if (gone) entries_.erase(listed.id);
   }
   return update;
@@ -50,27 +50,27 @@
 EndpointDirectory::Entry& EndpointDirectory::FindOrAdd(const std::string& id) {
   Entry& entry = entries_[id];
   if (entry.server == 0) {
-    entry.server = next_server_;
-    ++next_server_;
+    entry.server = next_server_id_;
+    ++next_server_id_;
   }
   return entry;
 }
 
-void EndpointDirectory::UpdateServerSide(Entry& entry, const ListedServer& listed,
-                                         std::vector<Command>& commands) {
-  const bool accepts = listed.state == ServerState::kReady;
-  const bool moved = !listed.address.empty() && entry.address != listed.address;
-  if (moved) entry.address = listed.address;
-  if (accepts && (moved || !entry.accepts_operations) && !entry.address.empty()) {
+void EndpointDirectory::UpdateUpstream(Entry& entry, const ListedServer& listed,
+                                       std::vector<Command>& commands) {
+  const bool ready = listed.state == ServerState::kReady;
+  const bool address_changed = !listed.address.empty() && entry.address != listed.address;
+  if (address_changed) entry.address = listed.address;
+  if (ready && (address_changed || !entry.accepts_operations) && !entry.address.empty()) {
     commands.push_back(SetAddress{entry.server, entry.address});
   }
-  // An operation that waits for a connection there would otherwise start whenever the connection comes up,
-  // however long after this update.
-  if (!accepts && entry.accepts_operations) commands.push_back(RemoveServer{entry.server});
-  entry.accepts_operations = accepts;
+  // Otherwise an operation that waits for a connection to the server would still start once the connection is
+  // open, no matter how long after this update.
+  if (!ready && entry.accepts_operations) commands.push_back(RemoveServer{entry.server});
+  entry.accepts_operations = ready;
 }
 
-EndpointEntry EndpointDirectory::ToModuleEntry(const ListedServer& listed, ServerId server) const {
+EndpointEntry EndpointDirectory::ToEndpointEntry(const ListedServer& listed, ServerId server) const {
   EndpointEntry entry;
   entry.server = server;
   entry.group = listed.group;
--- a/src/dispatch/in_flight_table.cpp
+++ b/src/dispatch/in_flight_table.cpp
@@ -11,12 +11,12 @@
 }
 
 OperationId InFlightTable::AddAttempt(Micros now, RequestId id, PendingRequest& request, ServerId server) {
-  const OperationId operation_id = next_operation_;
-  ++next_operation_;
+  const OperationId operation_id = next_operation_id_;
+  ++next_operation_id_;
   Operation& operation = operations_[operation_id];
   operation.kind = Operation::Kind::kAttempt;
   operation.server = server;
-  operation.started = now;
+  operation.start_time = now;
   operation.request = id;
   operation.attempt = request.attempts_started;
   operation.class_index = request.class_index;
@@ -27,12 +27,12 @@
 }
 
 OperationId InFlightTable::AddProbe(Micros now, ServerId server) {
-  const OperationId operation_id = next_operation_;
-  ++next_operation_;
+  const OperationId operation_id = next_operation_id_;
+  ++next_operation_id_;
   Operation& operation = operations_[operation_id];
   operation.kind = Operation::Kind::kProbe;
   operation.server = server;
-  operation.started = now;
+  operation.start_time = now;
   return operation_id;
 }
 
@@ -71,10 +71,10 @@
   return unwritten;
 }
 
-std::optional<Micros> InFlightTable::EarliestStart(RequestId id) const {
+std::optional<Micros> InFlightTable::EarliestAttemptStart(RequestId id) const {
   std::optional<Micros> earliest;
   ForEachAttempt(id, [&](OperationId, const Operation& operation) {
-    earliest = std::min(earliest.value_or(operation.started), operation.started);
+    earliest = std::min(earliest.value_or(operation.start_time), operation.start_time);
   });
   return earliest;
 }
--- a/src/dispatch/in_flight_table.hpp
+++ b/src/dispatch/in_flight_table.hpp
@@ -1,4 +1,4 @@
-// The requests that have no final response yet, and the attempts and probes that are under way.
+// The requests without a final response, and the attempts and probes in flight.
 #ifndef TULIPYOKE_SRC_DISPATCH_IN_FLIGHT_TABLE_HPP_
 #define TULIPYOKE_SRC_DISPATCH_IN_FLIGHT_TABLE_HPP_
 
@@ -20,10 +20,10 @@
   int class_index = 0;
   int attempts_started = 0;
   Micros deadline = 0;
-  std::uint64_t session_key = 0;  // of the session; 0: none
+  std::uint64_t session_key = 0;  // 0: no session
   std::shared_ptr<const RequestPayload> payload;
-  // When the first of the finished attempts that ran, or may have run, was started.
-  std::optional<Micros> first_possible_run = {};
+  // The earliest start time of the finished attempts that a server executed or may have executed.
+  std::optional<Micros> first_possible_execution = {};
 };
 
 struct Operation {
@@ -31,13 +31,13 @@
 
   Kind kind = Kind::kAttempt;
   ServerId server = 0;
-  Micros started = 0;
-  // Of an attempt.
+  Micros start_time = 0;
+  // Set only for attempts.
   RequestId request = 0;
   int attempt = 0;
   int class_index = 0;
   std::uint64_t session_key = 0;
-  bool written = false;  // the server's socket has taken its last byte
+  bool written = false;  // the last byte was written to the server's socket
 
   bool is_probe() const { return kind == Kind::kProbe; }
 };
@@ -47,23 +47,23 @@
   using Requests = std::unordered_map<RequestId, PendingRequest>;
 
   void AddRequest(RequestId id, PendingRequest request) { requests_[id] = std::move(request); }
-  // Null if the request has its final response. The pointer is valid until the request is removed.
+  // Returns null if the request has ended. The pointer is valid until the request is removed.
   PendingRequest* FindRequest(RequestId id);
   bool RemoveRequest(RequestId id) { return requests_.erase(id) > 0; }
   bool HasRequest(RequestId id) const { return requests_.contains(id); }
   const Requests& requests() const { return requests_; }
 
-  // Counts the attempt at the request.
+  // Also increments the request's `attempts_started`.
   OperationId AddAttempt(Micros now, RequestId id, PendingRequest& request, ServerId server);
   OperationId AddProbe(Micros now, ServerId server);
-  // Null if the operation is over. The pointer is valid until the operation is removed.
+  // Returns null if the operation has finished. The pointer is valid until the operation is removed.
   Operation* FindOperation(OperationId id);
   std::optional<Operation> RemoveOperation(OperationId id);
   std::optional<OperationId> FindAttempt(RequestId id, int attempt) const;
-  // The request's attempts that are not completely written, in the order of their start.
+  // The request's attempts that are not completely written, in the order in which they were started.
   std::vector<OperationId> UnwrittenAttempts(RequestId id) const;
-  // When the earliest of the request's attempts under way was started.
-  std::optional<Micros> EarliestStart(RequestId id) const;
+  // The earliest start time of the request's attempts in flight.
+  std::optional<Micros> EarliestAttemptStart(RequestId id) const;
 
  private:
   struct AttemptKey {
@@ -73,14 +73,14 @@
   };
   using Attempts = std::map<AttemptKey, OperationId>;
 
-  // Calls `visit` with each attempt of the request that is under way.
+  // Calls `visit` for each attempt of the request that is in flight.
   template <typename Visit>
   void ForEachAttempt(RequestId id, const Visit& visit) const;
 
   Requests requests_;
   std::unordered_map<OperationId, Operation> operations_;
   Attempts attempts_;
-  OperationId next_operation_ = 1;
+  OperationId next_operation_id_ = 1;
 };
 
 }  // namespace tulipyoke
--- a/src/dispatch/outcome.cpp
+++ b/src/dispatch/outcome.cpp
@@ -26,7 +26,7 @@
 
 std::string_view StatusName(Status status) { return kStatusNames[IndexOf(status)]; }
 
-bool CannotHaveRun(Status status) {
+bool IsCertainlyNotExecuted(Status status) {
   return status == Status::kStaleOrWrongRole || status == Status::kOverloaded ||
          status == Status::kConnectFailed || status == Status::kNotSent;
 }
--- a/src/dispatch/outcome.hpp
+++ b/src/dispatch/outcome.hpp
@@ -1,4 +1,4 @@
-// What a server returned for one attempt or probe, whatever protocol it speaks.
+// The outcome of an attempt or a probe, independent of the server's protocol.
 #ifndef TULIPYOKE_SRC_DISPATCH_OUTCOME_HPP_
 #define TULIPYOKE_SRC_DISPATCH_OUTCOME_HPP_
 
@@ -13,8 +13,8 @@
 
 namespace tulipyoke {
 
-// A value as a server returned it. `row_description` and `command_tag` are in the server's protocol: a client
-// of the same protocol gets them unchanged, a client of another one needs only the value.
+// A value that a server returned. `row_description` and `command_tag` are encoded in the server's protocol:
+// they are forwarded unchanged to a client of the same protocol and ignored for any other client.
 struct QueryResult {
   std::string row_description, value, command_tag;
 };
@@ -30,7 +30,7 @@
 
 struct Outcome {
   Status status = Status::kOk;
-  QueryResult result = {};  // with Status::kOk
+  QueryResult result = {};  // only with Status::kOk
   Role role = Role::kUnknown;
   std::optional<std::int64_t> position_unix_ms = {};
   LoadReport report = {};
@@ -40,13 +40,13 @@
 
 inline std::size_t IndexOf(Status status) { return static_cast<std::size_t>(status); }
 
-// The status in counters and trace lines, e.g. "connect_failed".
+// The name of the status in counters and trace lines, e.g. "connect_failed".
 std::string_view StatusName(Status status);
 
-// Whether the server certainly did not begin to execute the attempt.
-bool CannotHaveRun(Status status);
+// Whether the status implies that the server did not execute the attempt.
+bool IsCertainlyNotExecuted(Status status);
 
-// Parses "inflight=7,util=0.61". A report with any malformed part is dropped as a whole: the result is empty.
+// Parses a load report such as "inflight=7,util=0.61". Returns an empty report if any field is malformed.
 LoadReport ParseLoadReport(const std::string& text);
 
 }  // namespace tulipyoke
--- a/src/dispatch/peer_replication.hpp
+++ b/src/dispatch/peer_replication.hpp
@@ -1,5 +1,5 @@
-// Replicates session commits and server roles to the other process of this router while one takes over from
-// the other, and translates the updates that come from there into events of the decision module.
+// During a hot restart, replicates session commits and server roles to the peer process, and translates the
+// updates received from it into events for the routing policy.
 #ifndef TULIPYOKE_SRC_DISPATCH_PEER_REPLICATION_HPP_
 #define TULIPYOKE_SRC_DISPATCH_PEER_REPLICATION_HPP_
 
@@ -16,25 +16,26 @@
 
 namespace tulipyoke {
 
-// Keeps references to the module and to the directory; their owner is also the owner of this.
+// Holds references to all constructor arguments, which must outlive it.
 class PeerReplication {
  public:
-  PeerReplication(const Router& router, EndpointDirectory& directory, const PositionScale& positions)
-      : router_(router), directory_(directory), positions_(positions) {}
+  PeerReplication(const Router& router, EndpointDirectory& directory, const PositionScale& position_scale)
+      : router_(router), directory_(directory), position_scale_(position_scale) {}
 
   void SetEnabled(bool enabled) { enabled_ = enabled; }
 
-  // Everything that a new peer process has to know.
-  std::vector<SessionUpdate> Sessions() const;
-  std::vector<ServerUpdate> Servers() const;
+  // The full state to send to a new peer process.
+  std::vector<SessionUpdate> SessionUpdates() const;
+  std::vector<ServerUpdate> ServerUpdates() const;
 
-  // What the outcome changed, if a peer process is there. The module must have handled the outcome. The
-  // commands go in front of all others: the peer knows before the client gets the response and asks again.
+  // If replication is enabled, issues updates for what the outcome changed. Must be called after the policy
+  // has handled the outcome. The updates are inserted before all other commands, so that the peer has them
+  // before the client receives the response and sends its next request.
   void ReplicateOutcome(const Operation& operation, Role role, bool committed,
                         std::vector<Command>& commands);
 
   SessionCommit ToEvent(const SessionUpdate& update) const;
-  // None for a server that is not listed here.
+  // Returns nullopt for a server that is not listed in this process.
   std::optional<ServerObservation> ToEvent(const ServerUpdate& update) const;
 
  private:
@@ -43,7 +44,7 @@
 
   const Router& router_;
   EndpointDirectory& directory_;
-  const PositionScale& positions_;
+  const PositionScale& position_scale_;
   bool enabled_ = false;
 };
 
--- a/src/dispatch/peer_update.hpp
+++ b/src/dispatch/peer_update.hpp
@@ -1,4 +1,4 @@
-// What two processes of one router tell each other while one takes over from the other.
+// The updates that two processes of a router exchange during a hot restart.
 #ifndef TULIPYOKE_SRC_DISPATCH_PEER_UPDATE_HPP_
 #define TULIPYOKE_SRC_DISPATCH_PEER_UPDATE_HPP_
 
@@ -12,12 +12,12 @@
 
 // The latest commit of a session.
 struct SessionUpdate {
-  std::uint64_t session_key = 0;  // 0: all sessions of the group that have no update of their own
+  std::uint64_t session_key = 0;  // 0: all sessions of the group without an update of their own
   int group = 0;
   std::int64_t commit_unix_ms = 0;
 };
 
-// The role and the replication position that a server last showed.
+// The role and the replication position that a server reported last.
 struct ServerUpdate {
   std::string id;
   Role role = Role::kUnknown;
--- a/src/dispatch/position_scale.hpp
+++ b/src/dispatch/position_scale.hpp
@@ -1,5 +1,5 @@
-// Converts replication positions between Unix milliseconds, as servers and the peer process state them, and
-// milliseconds after the configured origin, as the decision module counts them.
+// Converts replication positions between Unix milliseconds, which servers and the peer process use, and
+// milliseconds after the configured epoch, which the routing policy uses.
 #ifndef TULIPYOKE_SRC_DISPATCH_POSITION_SCALE_HPP_
 #define TULIPYOKE_SRC_DISPATCH_POSITION_SCALE_HPP_
 
@@ -11,42 +11,42 @@
 
 namespace tulipyoke {
 
-// What a server has replayed is rounded down and what a session has committed is rounded up, so that no read
-// is taken for newer than it is.
+// The position that a server has replayed is rounded down and a session's commit is rounded up, so that a
+// read is never considered fresher than it is.
 class PositionScale {
  public:
-  explicit PositionScale(Micros origin) : origin_(origin) {}
+  explicit PositionScale(Micros epoch) : epoch_(epoch) {}
 
-  bool IsAfterOrigin(std::int64_t unix_ms) const { return MicrosAfterOrigin(unix_ms) > 0; }
+  bool IsAfterEpoch(std::int64_t unix_ms) const { return MicrosAfterEpoch(unix_ms) > 0; }
 
-  // Milliseconds after the origin; 0 for what lies before it.
-  std::int64_t RoundDown(std::int64_t unix_ms) const {
-    return std::max<Micros>(MicrosAfterOrigin(unix_ms), 0) / kMicrosPerMs;
+  // Milliseconds after the epoch; 0 for a time before the epoch.
+  std::int64_t FromUnixMsRoundedDown(std::int64_t unix_ms) const {
+    return std::max<Micros>(MicrosAfterEpoch(unix_ms), 0) / kMicrosPerMs;
   }
-  std::int64_t RoundUp(std::int64_t unix_ms) const {
-    return (std::max<Micros>(MicrosAfterOrigin(unix_ms), 0) + kMicrosPerMs - 1) / kMicrosPerMs;
+  std::int64_t FromUnixMsRoundedUp(std::int64_t unix_ms) const {
+    return (std::max<Micros>(MicrosAfterEpoch(unix_ms), 0) + kMicrosPerMs - 1) / kMicrosPerMs;
   }
 
-  // The position in a load report: seconds after the origin of a whole number of Unix milliseconds.
+  // Rounds a load report's position down to a whole Unix millisecond; returns seconds after the epoch.
   double ToReportSeconds(double unix_ms) const {
-    const double origin_ms = static_cast<double>(origin_) / kMicrosPerMs;
-    return (std::floor(unix_ms) - origin_ms) / kMsPerSecond;
+    const double epoch_ms = static_cast<double>(epoch_) / kMicrosPerMs;
+    return (std::floor(unix_ms) - epoch_ms) / kMsPerSecond;
   }
 
   std::int64_t ToUnixMsRoundedDown(std::int64_t position_ms) const {
-    return (position_ms * kMicrosPerMs + origin_) / kMicrosPerMs;
+    return (position_ms * kMicrosPerMs + epoch_) / kMicrosPerMs;
   }
   std::int64_t ToUnixMsRoundedUp(std::int64_t position_ms) const {
-    return (position_ms * kMicrosPerMs + origin_ + kMicrosPerMs - 1) / kMicrosPerMs;
+    return (position_ms * kMicrosPerMs + epoch_ + kMicrosPerMs - 1) / kMicrosPerMs;
   }
 
  private:
   static constexpr Micros kMicrosPerMs = 1000;
   static constexpr double kMsPerSecond = 1e3;
 
-  Micros MicrosAfterOrigin(std::int64_t unix_ms) const { return unix_ms * kMicrosPerMs - origin_; }
+  Micros MicrosAfterEpoch(std::int64_t unix_ms) const { return unix_ms * kMicrosPerMs - epoch_; }
 
-  Micros origin_;
+  Micros epoch_;
 };
 
 }  // namespace tulipyoke
--- a/src/dispatch/response.hpp
+++ b/src/dispatch/response.hpp
@@ -1,4 +1,4 @@
-// The final response to a request, as the client side gets it.
+// The final response to a request, which the client listener encodes for the client.
 #ifndef TULIPYOKE_SRC_DISPATCH_RESPONSE_HPP_
 #define TULIPYOKE_SRC_DISPATCH_RESPONSE_HPP_
 
@@ -15,16 +15,16 @@
   QueryResult result;
 };
 
-// The request had no effect: the client may safely retry it.
+// The request was not executed: the client may safely retry it.
 struct RejectedResponse {
-  Micros retry_after = 0;  // 0: no advice
+  Micros retry_after = 0;  // 0: not stated
 };
 
-// The request may have had an effect.
+// The request may have been executed.
 struct FailedResponse {};
 
-// The result is forwarded while it arrives. The client side reports the end of the stream with
-// Dispatcher::StreamDelivered.
+// The result is forwarded as it arrives. The client listener calls Dispatcher::StreamDelivered once it has
+// sent all of the stream.
 struct StreamingResponse {
   std::shared_ptr<ResponseStream> stream;
 };
--- a/src/dispatch/statistics.cpp
+++ b/src/dispatch/statistics.cpp
@@ -37,10 +37,10 @@
   const auto append = [&](const std::string& name, std::uint64_t value) {
     text += name + "=" + std::to_string(value) + separator;
   };
-  for (const ClassStatistics& of_class : statistics.classes) {
-    append("passed." + of_class.name, of_class.passed);
-    append("dropped." + of_class.name, of_class.dropped);
-    append("bad_gateway." + of_class.name, of_class.bad_gateway);
+  for (const ClassStatistics& class_statistics : statistics.classes) {
+    append("passed." + class_statistics.name, class_statistics.passed);
+    append("dropped." + class_statistics.name, class_statistics.dropped);
+    append("bad_gateway." + class_statistics.name, class_statistics.bad_gateway);
   }
   append("upstream_tries", statistics.upstream_attempts);
   append("in_progress", statistics.in_progress);
--- a/src/dispatch/statistics.hpp
+++ b/src/dispatch/statistics.hpp
@@ -1,4 +1,4 @@
-// Counters of the Dispatcher and the statistics shown to operators, with their text.
+// The counters of the Dispatcher, the statistics shown to operators, and their text form.
 #ifndef TULIPYOKE_SRC_DISPATCH_STATISTICS_HPP_
 #define TULIPYOKE_SRC_DISPATCH_STATISTICS_HPP_
 
@@ -12,20 +12,20 @@
 
 namespace tulipyoke {
 
-using OutcomeCounters = std::array<std::uint64_t, kStatusCount>;  // by Status
+using OutcomeCounters = std::array<std::uint64_t, kStatusCount>;  // indexed by Status
 
 // Totals since the start.
 struct DispatchCounters {
   std::uint64_t received = 0, served = 0, rejected = 0, failed = 0;
-  std::uint64_t overdue = 0;       // answered by the Dispatcher itself, after the deadline
-  std::uint64_t disconnected = 0;  // the client left before its response
+  std::uint64_t overdue = 0;       // the Dispatcher itself responded, after the deadline
+  std::uint64_t disconnected = 0;  // the client disconnected before its response
   std::uint64_t attempts = 0, probes = 0, endpoint_lists = 0;
   OutcomeCounters attempt_outcomes{}, probe_outcomes{};
 };
-// `name=value` pairs, separated by spaces.
+// Returns `name=value` pairs separated by spaces.
 std::string ToText(const DispatchCounters& counters);
 
-// Finished requests of one class, counted when the response is sent.
+// Responses to requests of one class, counted when sent; a streaming response is counted when it ends.
 struct ClassStatistics {
   std::string name;
   std::uint64_t passed = 0, dropped = 0, bad_gateway = 0;
@@ -33,11 +33,11 @@
 
 struct DispatchStatistics {
   std::vector<ClassStatistics> classes;
-  std::uint64_t upstream_attempts = 0;  // those whose last byte was written
-  // At the present moment. Servers that the module passes over count as skipped.
+  std::uint64_t upstream_attempts = 0;  // attempts whose last byte was written
+  // Current values. A server is skipped while the policy avoids it.
   std::size_t in_progress = 0, known_servers = 0, skipped_servers = 0;
 };
-// One `name=value` pair each, followed by `separator`.
+// Returns `name=value` pairs, each followed by `separator`.
 std::string ToText(const DispatchStatistics& statistics, char separator);
 
 }  // namespace tulipyoke
--- a/src/dispatch/stream_table.hpp
+++ b/src/dispatch/stream_table.hpp
@@ -1,4 +1,4 @@
-// The streaming responses that have begun and whose clients have not received the end yet.
+// The streaming responses that have begun and are not fully delivered to their clients.
 #ifndef TULIPYOKE_SRC_DISPATCH_STREAM_TABLE_HPP_
 #define TULIPYOKE_SRC_DISPATCH_STREAM_TABLE_HPP_
 
@@ -16,17 +16,17 @@
 class StreamTable {
  public:
   struct Entry {
-    std::optional<OperationId> open_operation;  // none once the server has finished
+    std::optional<OperationId> open_operation;  // nullopt once the server has finished
     Operation operation;
     std::shared_ptr<ResponseStream> stream;
   };
 
   void Add(OperationId operation_id, const Operation& operation, std::shared_ptr<ResponseStream> stream);
-  // The request whose response streams from that operation, while the server has not finished.
+  // The request whose response the operation streams; nullopt once the server has finished.
   std::optional<RequestId> FindRequest(OperationId operation_id) const;
-  // Null if the request has no streaming response. The pointer is valid until Remove.
+  // Returns null if the request has no streaming response. The pointer is valid until Remove.
   const Entry* Find(RequestId request) const;
-  // The server has finished; the client may still have to receive the rest.
+  // Records that the server has finished. The client may not have received all of the response yet.
   void CloseOperation(RequestId request);
   void Remove(RequestId request);
   std::size_t size() const { return entries_.size(); }
--- a/src/dispatch/timer_queue.hpp
+++ b/src/dispatch/timer_queue.hpp
@@ -1,4 +1,4 @@
-// The Dispatcher's pending timers, in the order in which they expire.
+// The pending timers of the Dispatcher, ordered by expiry.
 #ifndef TULIPYOKE_SRC_DISPATCH_TIMER_QUEUE_HPP_
 #define TULIPYOKE_SRC_DISPATCH_TIMER_QUEUE_HPP_
 
@@ -14,16 +14,16 @@
 
 class TimerQueue {
  public:
-  // At the same time the timeout of an operation comes before the timers of the decision module, these before
-  // the end of a request's wait for a preceding write, and that before the check that a request was answered
-  // by its deadline.
-  enum class Kind { kOperationTimeout, kModuleTimer, kWriteWaitExpired, kRequestOverdue };
+  // Timers that expire at the same time are handled in the order of their kinds: operation timeouts, timers
+  // of the routing policy, the end of a request's wait for a preceding write, and finally the check that a
+  // request has been answered.
+  enum class Kind { kOperationTimeout, kPolicyTimer, kWriteWaitExpired, kRequestOverdue };
 
   struct Timer {
     Micros when = 0;
-    Kind kind = Kind::kModuleTimer;
-    std::uint64_t sequence = 0;  // timers of one time and kind expire in the order of their scheduling
-    std::uint64_t id = 0;        // an OperationId, the module's token or a RequestId, by kind
+    Kind kind = Kind::kPolicyTimer;
+    std::uint64_t sequence = 0;  // orders timers of the same time and kind as they were scheduled
+    std::uint64_t id = 0;        // by kind: an OperationId, the policy's token or a RequestId
 
     auto operator<=>(const Timer&) const = default;
   };
@@ -33,7 +33,7 @@
     ++next_sequence_;
   }
 
-  // Removes the next timer that has expired by `now`; nullopt if there is none.
+  // Removes and returns the next timer that has expired by `now`; nullopt if there is none.
   std::optional<Timer> PopExpired(Micros now) {
     if (timers_.empty() || timers_.top().when > now) return std::nullopt;
     const Timer timer = timers_.top();
@@ -41,7 +41,7 @@
     return timer;
   }
 
-  // When the next timer expires.
+  // When the next timer expires; nullopt if there is none.
   std::optional<Micros> NextExpiry() const {
     if (timers_.empty()) return std::nullopt;
     return timers_.top().when;
--- a/src/dispatch/trace.cpp
+++ b/src/dispatch/trace.cpp
@@ -9,26 +9,28 @@
 namespace {
 
 // Builds a line of `name=value` pairs.
-class Line {
+class LineBuilder {
  public:
-  explicit Line(std::string_view step) : text_(step) {}
+  explicit LineBuilder(std::string_view event_name) : text_(event_name) {}
 
-  Line& Field(std::string_view name, std::string_view value) {
+  LineBuilder& AddField(std::string_view name, std::string_view value) {
     text_ += ' ';
     text_ += name;
     text_ += '=';
     text_ += value;
     return *this;
   }
-  Line& Number(std::string_view name, std::int64_t value) { return Field(name, std::to_string(value)); }
-  Line& Request(RequestId request) { return Field("request", std::to_string(request)); }
+  LineBuilder& AddNumber(std::string_view name, std::int64_t value) {
+    return AddField(name, std::to_string(value));
+  }
+  LineBuilder& AddRequest(RequestId request) { return AddField("request", std::to_string(request)); }
   std::string text() const { return text_; }
 
  private:
   std::string text_;
 };
 
-std::string_view NameOf(Result result) {
+std::string_view ResultName(Result result) {
   switch (result) {
     case Result::kServed:
       return "served";
@@ -41,53 +43,56 @@
 }
 
 std::string Format(const RequestReceived& event) {
-  Line line("taken");
-  line.Field("id", event.client_request_id)
-      .Request(event.request)
-      .Field("class", event.class_name)
-      .Number("group", event.group)
-      .Number("wait", event.timeout);
-  if (event.waited > 0) line.Number("waited", event.waited);
-  if (event.preceding_write) line.Number("behind", static_cast<std::int64_t>(*event.preceding_write));
+  LineBuilder line("taken");
+  line.AddField("id", event.client_request_id)
+      .AddRequest(event.request)
+      .AddField("class", event.class_name)
+      .AddNumber("group", event.group)
+      .AddNumber("wait", event.timeout);
+  if (event.waited > 0) line.AddNumber("waited", event.waited);
+  if (event.preceding_write) line.AddNumber("behind", static_cast<std::int64_t>(*event.preceding_write));
   return line.text();
 }
 
 std::string Format(const RequestFinished& event) {
-  return Line(NameOf(event.result)).Request(event.request).Number("retry_after", event.retry_after).text();
+  return LineBuilder(ResultName(event.result))
+      .AddRequest(event.request)
+      .AddNumber("retry_after", event.retry_after)
+      .text();
 }
 
 std::string Format(const AttemptStarted& event) {
-  return Line("sent")
-      .Request(event.request)
-      .Number("attempt", event.attempt)
-      .Field("server", event.server)
-      .Number("within", event.timeout)
+  return LineBuilder("sent")
+      .AddRequest(event.request)
+      .AddNumber("attempt", event.attempt)
+      .AddField("server", event.server)
+      .AddNumber("within", event.timeout)
       .text();
 }
 
 std::string Format(const AttemptFinished& event) {
-  return Line("ended")
-      .Request(event.request)
-      .Number("attempt", event.attempt)
-      .Field("server", event.server)
-      .Field("status", StatusName(event.status))
-      .Number("role", static_cast<int>(event.role))
-      .Number("after", event.elapsed)
+  return LineBuilder("ended")
+      .AddRequest(event.request)
+      .AddNumber("attempt", event.attempt)
+      .AddField("server", event.server)
+      .AddField("status", StatusName(event.status))
+      .AddNumber("role", static_cast<int>(event.role))
+      .AddNumber("after", event.elapsed)
       .text();
 }
 
 std::string Format(const ProbeFinished& event) {
-  return Line("probed")
-      .Field("server", event.server)
-      .Field("status", StatusName(event.status))
-      .Number("after", event.elapsed)
+  return LineBuilder("probed")
+      .AddField("server", event.server)
+      .AddField("status", StatusName(event.status))
+      .AddNumber("after", event.elapsed)
       .text();
 }
 
 std::string Format(const EndpointsUpdated& event) {
-  std::string text = Line("heard").Number("complete", event.complete ? 1 : 0).text();
+  std::string text = LineBuilder("heard").AddNumber("complete", event.complete ? 1 : 0).text();
   for (const EndpointsUpdated::Server& server : event.servers) {
-    text += " " + Line(server.id).Number("state", static_cast<int>(server.state)).text();
+    text += " " + LineBuilder(server.id).AddNumber("state", static_cast<int>(server.state)).text();
   }
   return text;
 }
@@ -95,7 +100,7 @@
 }  // namespace
 
 std::string ToText(const Event& event) {
-  return std::visit([](const auto& step) { return Format(step); }, event);
+  return std::visit([](const auto& typed_event) { return Format(typed_event); }, event);
 }
 
 }  // namespace tulipyoke::trace
--- a/src/dispatch/trace.hpp
+++ b/src/dispatch/trace.hpp
@@ -1,4 +1,4 @@
-// The steps of a request that are logged when tracing is on, and their text.
+// The events that are logged while tracing is on, and their text form.
 #ifndef TULIPYOKE_SRC_DISPATCH_TRACE_HPP_
 #define TULIPYOKE_SRC_DISPATCH_TRACE_HPP_
 
@@ -12,12 +12,12 @@
 namespace tulipyoke::trace {
 
 struct RequestReceived {
-  std::string client_request_id;  // as the client names it in its statement
+  std::string client_request_id;  // from the comment of the client's statement
   RequestId request = 0;
   std::string class_name;
   int group = 0;
   Micros timeout = 0;
-  Micros waited = 0;  // since the last byte of the request arrived
+  Micros waited = 0;  // time since the last byte of the request arrived
   std::optional<RequestId> preceding_write;
 };
 
@@ -32,7 +32,7 @@
 struct AttemptStarted {
   RequestId request = 0;
   int attempt = 0;
-  std::string server;  // its id in service discovery, here and below
+  std::string server;  // its id in service discovery, also in the events below
   Micros timeout = 0;
 };
 
@@ -63,7 +63,7 @@
 using Event = std::variant<RequestReceived, RequestFinished, AttemptStarted, AttemptFinished, ProbeFinished,
                            EndpointsUpdated>;
 
-// One line of `name=value` pairs behind the name of the step.
+// Returns one line: the name of the event, followed by `name=value` pairs.
 std::string ToText(const Event& event);
 
 }  // namespace tulipyoke::trace
--- a/src/dispatch/write_barrier.hpp
+++ b/src/dispatch/write_barrier.hpp
@@ -1,5 +1,5 @@
-// Requests that wait for a write of their session which the client sent before them on the same connection:
-// the decision module is not told of them until the write has ended, so that they see it.
+// Defers requests that follow a write of the same session on the same client connection. They are passed to
+// the routing policy only after the write has ended, so that they see the write.
 #ifndef TULIPYOKE_SRC_DISPATCH_WRITE_BARRIER_HPP_
 #define TULIPYOKE_SRC_DISPATCH_WRITE_BARRIER_HPP_
 
@@ -13,48 +13,48 @@
 
 namespace tulipyoke {
 
-// No clock and no timers: the owner ends a wait that has lasted too long with Take.
+// Has no clock or timers: the owner calls Take for a request that has been deferred for too long.
 class WriteBarrier {
  public:
-  struct Waiting {
+  struct DeferredRequest {
     ClientRequest request;
     Micros arrival_time = 0;
   };
 
-  // The request waits for the end of `write`.
+  // Defers the request until `write` has ended.
   void Add(RequestId id, RequestId write, const ClientRequest& request, Micros arrival_time) {
-    waiting_[id] = {write, {request, arrival_time}};
+    deferred_[id] = {write, {request, arrival_time}};
   }
-  // That request has ended: it waits no more, and what waits for it may go on.
+  // Drops the request if it is deferred, and marks the requests that wait for it as ready.
   void RequestEnded(RequestId id) {
-    waiting_.erase(id);
-    for (const auto& [follower, entry] : waiting_) {
-      if (entry.write == id) released_.push_back(follower);
+    deferred_.erase(id);
+    for (const auto& [waiting_id, entry] : deferred_) {
+      if (entry.write == id) ready_.push_back(waiting_id);
     }
   }
-  // The next request that may go on; nullopt if there is none.
-  std::optional<RequestId> NextReleased() {
-    if (released_.empty()) return std::nullopt;
-    const RequestId id = released_.front();
-    released_.pop_front();
+  // Removes and returns the next ready request; nullopt if there is none. It stays deferred until Take.
+  std::optional<RequestId> NextReady() {
+    if (ready_.empty()) return std::nullopt;
+    const RequestId id = ready_.front();
+    ready_.pop_front();
     return id;
   }
-  // Ends the wait of that request; nullopt if it does not wait.
-  std::optional<Waiting> Take(RequestId id) {
-    const auto found = waiting_.find(id);
-    if (found == waiting_.end()) return std::nullopt;
-    Waiting waiting = std::move(found->second.waiting);
-    waiting_.erase(found);
-    return waiting;
+  // Removes and returns a deferred request; nullopt if the request is not deferred.
+  std::optional<DeferredRequest> Take(RequestId id) {
+    const auto found = deferred_.find(id);
+    if (found == deferred_.end()) return std::nullopt;
+    DeferredRequest deferred = std::move(found->second.deferred);
+    deferred_.erase(found);
+    return deferred;
   }
 
  private:
   struct Entry {
     RequestId write = 0;
-    Waiting waiting;
+    DeferredRequest deferred;
   };
-  std::map<RequestId, Entry> waiting_;  // an entry leaves with its request's end or its wait's
-  std::deque<RequestId> released_;
+  std::map<RequestId, Entry> deferred_;  // by the deferred request
+  std::deque<RequestId> ready_;
 };
 
 }  // namespace tulipyoke
--- a/tests/dispatch/command_oracle_test.cpp
+++ b/tests/dispatch/command_oracle_test.cpp
@@ -1,6 +1,6 @@
-// Compares every command of a long seeded run with recorded hashes. A change of structure must leave the
-// commands, their order and their contents exactly as they are; a change of behaviour has to record new
-// hashes and say why. Nothing here depends on the names of types: commands are hashed as numbers and strings.
+// Compares the commands of long seeded runs with recorded hashes. A refactoring must not change the commands,
+// their order or their contents; a change of behaviour must record new hashes and state the reason. Commands
+// are hashed as numbers and strings, so that type names do not affect the hashes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,15 +21,15 @@
 
 constexpr int kEventsPerRun = 6000;
 constexpr Micros kRunStart = 1'767'225'600 * kSecond;
-constexpr Micros kSettleSpan = 20 * kSecond;
+constexpr Micros kFinalWait = 20 * kSecond;
 
-enum class RunKind { kPlain, kOtherSettings, kHotRestart, kDrain };
+enum class RunKind { kDefaultSettings, kOtherSettings, kHotRestart, kDrain };
 
 struct RecordedRun {
   std::uint64_t seed;
   RunKind kind;
-  std::uint64_t command_hash;  // all commands but trace steps, with the state read in between
-  std::uint64_t trace_hash;    // trace steps alone
+  std::uint64_t command_hash;  // all commands except TraceStep, and the state read in between
+  std::uint64_t trace_hash;    // TraceStep commands only
 };
 
 std::ostream& operator<<(std::ostream& out, const RecordedRun& run) { return out << "seed " << run.seed; }
@@ -37,7 +37,7 @@
 Settings SettingsOf(RunKind kind) {
   Settings settings = TestSettings();
   settings.tenants.resize(2);
-  settings.position_epoch = kRunStart - 600 * kSecond + 500;  // half a millisecond off
+  settings.position_epoch = kRunStart - 600 * kSecond + 500;  // not a whole millisecond
   if (kind == RunKind::kOtherSettings) {
     settings.listed_role = ListedRole::kNever;
     settings.max_attempts = 2;
@@ -56,23 +56,23 @@
         random_(run.seed),
         dispatcher_({SettingsOf(run.kind), run.seed, {"a", "b"}, {"small", "large"}, 250 * kMs, true}) {
     EndpointList known{1, true, {}};
-    for (int i = 0; i < 4; ++i) known.servers.push_back(ServerAt(i, ServerState::kReady));
+    for (int i = 0; i < 4; ++i) known.servers.push_back(MakeServer(i, ServerState::kReady));
     dispatcher_.Start(now_, known);
     CollectCommands();
   }
 
-  void Play() {
+  void Run() {
     for (int step = 0; step < kEventsPerRun; ++step) {
-      OneEvent(step);
-      // Now and then several events come before their commands are taken.
+      ProduceEvent(step);
+      // Sometimes several events are handled before their commands are taken.
       if (!random_.OneIn(6)) CollectCommands();
       now_ += static_cast<Micros>(random_.Below(4000));
       if (!random_.OneIn(3)) RunTimersUntil(now_);
     }
     CollectCommands();
-    RunTimersUntil(now_ + kSettleSpan);
+    RunTimersUntil(now_ + kFinalWait);
     HashState();
-    command_hash_.Text(ToText(dispatcher_.counters()));
+    command_hash_.AddText(ToText(dispatcher_.counters()));
   }
 
   std::uint64_t command_hash() const { return command_hash_.value(); }
@@ -85,10 +85,10 @@
  private:
   struct StartedOperation {
     OperationId operation_id = 0;
-    bool probe = false;
+    bool is_probe = false;
   };
 
-  ListedServer ServerAt(int index, ServerState state) {
+  ListedServer MakeServer(int index, ServerState state) {
     ListedServer server;
     server.id = std::string(1, static_cast<char>('p' + index));
     server.address = "10.0.0." + std::to_string(index + 1) + ":" + std::to_string(1 + random_.Below(2));
@@ -104,22 +104,22 @@
     return server;
   }
 
-  void OneEvent(int step) {
+  void ProduceEvent(int step) {
     const std::uint64_t choice = random_.Below(100);
     if (choice < 30) {
       Submit();
     } else if (choice < 62) {
-      FinishAnOperation();
+      FinishOperation();
     } else if (choice < 80) {
-      WriteAnOperation();
+      MarkOperationWritten();
     } else if (choice < 84) {
       if (!submitted_requests_.empty()) {
-        dispatcher_.ClientDisconnected(now_, OneOfTheLatest(submitted_requests_));
+        dispatcher_.ClientDisconnected(now_, PickRecent(submitted_requests_));
       }
     } else if (choice < 88) {
-      BeginAStream();
+      BeginRandomStream();
     } else if (choice < 92) {
-      if (!streaming_.empty()) dispatcher_.StreamDelivered(OneOfTheLatest(streaming_));
+      if (!streaming_.empty()) dispatcher_.StreamDelivered(PickRecent(streaming_));
     } else if (choice < 95) {
       UpdateEndpoints();
     } else if (choice < 97) {
@@ -150,23 +150,23 @@
       request.payload = std::make_shared<const RequestPayload>(RequestPayload{text, 7, 1});
     }
     submitted_requests_.push_back(dispatcher_.Submit(now_, request));
-    command_hash_.Number(submitted_requests_.back());
+    command_hash_.AddNumber(submitted_requests_.back());
   }
 
-  // Also one that has ended, so that events of every kind are met at every stage.
+  // May return one that has ended, so that every kind of event occurs at every stage.
   template <typename T>
-  T OneOfTheLatest(const std::vector<T>& all) {
+  T PickRecent(const std::vector<T>& all) {
     constexpr std::uint64_t kLatest = 12;
     return all[all.size() - 1 - random_.Below(std::min<std::uint64_t>(all.size(), kLatest))];
   }
 
-  std::optional<StartedOperation> AnOperation() {
+  std::optional<StartedOperation> PickOperation() {
     if (operations_.empty()) return std::nullopt;
-    return OneOfTheLatest(operations_);
+    return PickRecent(operations_);
   }
 
-  void FinishAnOperation() {
-    const std::optional<StartedOperation> operation = AnOperation();
+  void FinishOperation() {
+    const std::optional<StartedOperation> operation = PickOperation();
     if (!operation) return;
     Outcome outcome;
     outcome.status = random_.OneIn(2) ? Status::kOk : static_cast<Status>(random_.Below(9));
@@ -175,7 +175,7 @@
     if (!random_.OneIn(3)) {
       outcome.position_unix_ms = now_ / 1000 - static_cast<std::int64_t>(random_.Below(300));
     }
-    if (operation->probe) {
+    if (operation->is_probe) {
       outcome.report = {{"x0", static_cast<double>(now_ / 1000) - static_cast<double>(random_.Below(300))},
                         {"x1", random_.OneIn(2) ? 1.0 : 0.0},
                         {"other", 3.0}};
@@ -183,17 +183,17 @@
     dispatcher_.OperationFinished(now_, operation->operation_id, outcome);
   }
 
-  void WriteAnOperation() {
-    if (const std::optional<StartedOperation> operation = AnOperation()) {
+  void MarkOperationWritten() {
+    if (const std::optional<StartedOperation> operation = PickOperation()) {
       dispatcher_.OperationWritten(operation->operation_id);
     }
   }
 
-  void BeginAStream() {
-    const std::optional<StartedOperation> operation = AnOperation();
+  void BeginRandomStream() {
+    const std::optional<StartedOperation> operation = PickOperation();
     if (!operation) return;
     const auto stream = dispatcher_.BeginStream(now_, operation->operation_id, "large", 40'000);
-    command_hash_.Number(stream ? 1 : 0);
+    command_hash_.AddNumber(stream ? 1 : 0);
     if (stream) ++streams_;
   }
 
@@ -204,7 +204,7 @@
       if (list.complete && random_.OneIn(5)) continue;
       const bool ready = !random_.OneIn(4);
       list.servers.push_back(
-          ServerAt(i, ready ? ServerState::kReady : static_cast<ServerState>(random_.Below(3))));
+          MakeServer(i, ready ? ServerState::kReady : static_cast<ServerState>(random_.Below(3))));
     }
     dispatcher_.UpdateEndpoints(now_, list);
   }
@@ -235,8 +235,9 @@
   }
 
   void RunTimersUntil(Micros end) {
-    for (auto due = dispatcher_.NextTimerExpiry(); due && *due <= end; due = dispatcher_.NextTimerExpiry()) {
-      now_ = std::max(now_, *due);
+    for (auto expiry = dispatcher_.NextTimerExpiry(); expiry && *expiry <= end;
+         expiry = dispatcher_.NextTimerExpiry()) {
+      now_ = std::max(now_, *expiry);
       dispatcher_.Tick(now_);
       CollectCommands();
     }
@@ -246,14 +247,14 @@
   void CollectCommands() {
     for (const Command& command : dispatcher_.TakeCommands()) {
       ++commands_;
-      std::visit([this](const auto& what) { Hash(what); }, command);
+      std::visit([this](const auto& typed_command) { Hash(typed_command); }, command);
     }
-    command_hash_.Signed(dispatcher_.NextTimerExpiry().value_or(0));
-    command_hash_.Number(dispatcher_.in_progress());
+    command_hash_.AddSigned(dispatcher_.NextTimerExpiry().value_or(0));
+    command_hash_.AddNumber(dispatcher_.in_progress());
   }
 
   void HashState() {
-    command_hash_.Text(ToText(dispatcher_.StatisticsAt(now_), ' '));
+    command_hash_.AddText(ToText(dispatcher_.StatisticsAt(now_), ' '));
     // The order of the sessions is not specified.
     std::vector<SessionUpdate> sessions = dispatcher_.SessionSnapshot();
     std::sort(sessions.begin(), sessions.end(), [](const SessionUpdate& a, const SessionUpdate& b) {
@@ -265,86 +266,86 @@
 
   void Hash(const StartAttempt& start) {
     operations_.push_back({start.operation_id, false});
-    command_hash_.Number(1);
-    command_hash_.Number(start.operation_id);
-    command_hash_.Number(start.server);
-    command_hash_.Text(start.payload ? start.payload->bytes : "none");
-    command_hash_.Signed(start.deadline);
-    command_hash_.Signed(start.latest_start);
+    command_hash_.AddNumber(1);
+    command_hash_.AddNumber(start.operation_id);
+    command_hash_.AddNumber(start.server);
+    command_hash_.AddText(start.payload ? start.payload->bytes : "none");
+    command_hash_.AddSigned(start.deadline);
+    command_hash_.AddSigned(start.latest_start);
   }
   void Hash(const StartProbe& start) {
     operations_.push_back({start.operation_id, true});
-    command_hash_.Number(2);
-    command_hash_.Number(start.operation_id);
-    command_hash_.Number(start.server);
+    command_hash_.AddNumber(2);
+    command_hash_.AddNumber(start.operation_id);
+    command_hash_.AddNumber(start.server);
   }
-  void Hash(const CancelOperation& end) {
-    command_hash_.Number(3);
-    command_hash_.Number(end.operation_id);
+  void Hash(const CancelOperation& cancel) {
+    command_hash_.AddNumber(3);
+    command_hash_.AddNumber(cancel.operation_id);
   }
   void Hash(const SetAddress& set) {
-    command_hash_.Number(4);
-    command_hash_.Number(set.server);
-    command_hash_.Text(set.address);
+    command_hash_.AddNumber(4);
+    command_hash_.AddNumber(set.server);
+    command_hash_.AddText(set.address);
   }
-  void Hash(const RemoveServer& forget) {
-    command_hash_.Number(5);
-    command_hash_.Number(forget.server);
+  void Hash(const RemoveServer& remove) {
+    command_hash_.AddNumber(5);
+    command_hash_.AddNumber(remove.server);
   }
   void Hash(const CloseIdleConnections& close) {
-    command_hash_.Number(6);
-    command_hash_.Number(close.server);
+    command_hash_.AddNumber(6);
+    command_hash_.AddNumber(close.server);
   }
-  void Hash(const SendResponse& answer) {
-    command_hash_.Number(7);
-    command_hash_.Number(answer.id);
-    std::visit([this](const auto& what) { HashAnswer(what); }, answer.response);
-    if (std::holds_alternative<StreamingResponse>(answer.response)) streaming_.push_back(answer.id);
+  void Hash(const SendResponse& send) {
+    command_hash_.AddNumber(7);
+    command_hash_.AddNumber(send.id);
+    std::visit([this](const auto& response) { HashResponse(response); }, send.response);
+    if (std::holds_alternative<StreamingResponse>(send.response)) streaming_.push_back(send.id);
   }
-  void Hash(const RefreshEndpointList&) { command_hash_.Number(8); }
+  void Hash(const RefreshEndpointList&) { command_hash_.AddNumber(8); }
   void Hash(const ReplicateToPeer& replicate) {
     ++replicated_;
-    command_hash_.Number(9);
+    command_hash_.AddNumber(9);
     std::visit([this](const auto& update) { HashUpdate(update); }, replicate.update);
   }
   void Hash(const WriteLog& log) {
-    command_hash_.Number(10);
-    command_hash_.Text(log.text);
+    command_hash_.AddNumber(10);
+    command_hash_.AddText(log.text);
   }
-  void Hash(const TraceStep& trace) {
-    trace_hash_.Signed(trace.when);
-    trace_hash_.Text(ToText(trace.event));
+  void Hash(const TraceStep& step) {
+    trace_hash_.AddSigned(step.when);
+    trace_hash_.AddText(ToText(step.event));
   }
 
-  void HashAnswer(const ServedResponse& served) {
-    command_hash_.Number(1);
-    command_hash_.Text(served.result.row_description);
-    command_hash_.Text(served.result.value);
-    command_hash_.Text(served.result.command_tag);
+  void HashResponse(const ServedResponse& served) {
+    command_hash_.AddNumber(1);
+    command_hash_.AddText(served.result.row_description);
+    command_hash_.AddText(served.result.value);
+    command_hash_.AddText(served.result.command_tag);
   }
-  void HashAnswer(const RejectedResponse& refused) {
-    command_hash_.Number(2);
-    command_hash_.Signed(refused.retry_after);
+  void HashResponse(const RejectedResponse& rejected) {
+    command_hash_.AddNumber(2);
+    command_hash_.AddSigned(rejected.retry_after);
   }
-  void HashAnswer(const FailedResponse&) { command_hash_.Number(3); }
-  void HashAnswer(const StreamingResponse& streaming) {
-    command_hash_.Number(4);
-    command_hash_.Text(streaming.stream->row_description());
-    command_hash_.Number(streaming.stream->size());
+  void HashResponse(const FailedResponse&) { command_hash_.AddNumber(3); }
+  void HashResponse(const StreamingResponse& streaming) {
+    command_hash_.AddNumber(4);
+    command_hash_.AddText(streaming.stream->row_description());
+    command_hash_.AddNumber(streaming.stream->size());
   }
 
   void HashUpdate(const SessionUpdate& update) {
-    command_hash_.Number(1);
-    command_hash_.Number(update.session_key);
-    command_hash_.Signed(update.group);
-    command_hash_.Signed(update.commit_unix_ms);
+    command_hash_.AddNumber(1);
+    command_hash_.AddNumber(update.session_key);
+    command_hash_.AddSigned(update.group);
+    command_hash_.AddSigned(update.commit_unix_ms);
   }
   void HashUpdate(const ServerUpdate& update) {
-    command_hash_.Number(2);
-    command_hash_.Text(update.id);
-    command_hash_.Number(static_cast<std::uint64_t>(update.role));
-    command_hash_.Signed(update.role_time);
-    command_hash_.Signed(update.position_unix_ms);
+    command_hash_.AddNumber(2);
+    command_hash_.AddText(update.id);
+    command_hash_.AddNumber(static_cast<std::uint64_t>(update.role));
+    command_hash_.AddSigned(update.role_time);
+    command_hash_.AddSigned(update.position_unix_ms);
   }
 
   RunKind kind_;
@@ -361,18 +362,18 @@
 
 class CommandOracle : public testing::TestWithParam<RecordedRun> {};
 
-TEST_P(CommandOracle, CommandsAndTheirOrderAreAsRecorded) {
+TEST_P(CommandOracle, CommandsMatchTheRecordedHashes) {
   const RecordedRun& recorded = GetParam();
   SeededRun run(recorded);
-  run.Play();
+  run.Run();
   EXPECT_EQ(run.command_hash(), recorded.command_hash);
   EXPECT_EQ(run.trace_hash(), recorded.trace_hash);
 }
 
-// Guards against a run that compares little: each kind of event and outcome must have been met.
-TEST_P(CommandOracle, TheRunMeetsAllKindsOfEvents) {
+// Guards against a run that covers too little: every kind of event and outcome must occur.
+TEST_P(CommandOracle, TheRunCoversEveryKindOfEvent) {
   SeededRun run(GetParam());
-  run.Play();
+  run.Run();
   const DispatchCounters& counters = run.counters();
   EXPECT_GT(run.commands(), 4000u);
   EXPECT_GT(run.streams(), 10u);
@@ -389,7 +390,8 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Seeds, CommandOracle,
-    testing::Values(RecordedRun{1, RunKind::kPlain, 1786846476656206633ULL, 17373852916687818294ULL},
+    testing::Values(RecordedRun{1, RunKind::kDefaultSettings, 1786846476656206633ULL,
+                                17373852916687818294ULL},
                     RecordedRun{2, RunKind::kOtherSettings, 15059237532157476997ULL, 13137602012238291220ULL},
                     RecordedRun{3, RunKind::kHotRestart, 4683379989017389805ULL, 2892742800552322956ULL},
                     RecordedRun{4, RunKind::kDrain, 2531727342838313454ULL, 6590235242286808797ULL}));
--- a/tests/dispatch/dispatcher_harness.hpp
+++ b/tests/dispatch/dispatcher_harness.hpp
@@ -1,4 +1,4 @@
-// A Dispatcher with a fake clock and three listed servers, and the commands that it issued so far.
+// A Dispatcher with a fake clock and three listed servers, which records the commands that it issues.
 #ifndef TULIPYOKE_TESTS_DISPATCH_DISPATCHER_HARNESS_HPP_
 #define TULIPYOKE_TESTS_DISPATCH_DISPATCHER_HARNESS_HPP_
 
@@ -16,13 +16,13 @@
 
 class DispatcherHarness {
  public:
-  // Servers "p", "q" and "r" have the numbers 1, 2 and 3; "p" is the primary.
+  // Servers "p", "q" and "r" have the ServerIds 1, 2 and 3; "p" is the primary.
   explicit DispatcherHarness(Settings settings = TestSettings())
       : dispatcher({settings, 1, {"a", "b"}, {}, 250 * kMs}) {
-    dispatcher.Start(now, EndpointList{7, true, {Listed("p"), Listed("q"), Listed("r")}});
+    dispatcher.Start(now, EndpointList{7, true, {ReadyServer("p"), ReadyServer("q"), ReadyServer("r")}});
     CollectCommands();
   }
-  static ListedServer Listed(const std::string& id, const std::string& address = "127.0.0.1:1") {
+  static ListedServer ReadyServer(const std::string& id, const std::string& address = "127.0.0.1:1") {
     ListedServer server;
     server.id = id;
     server.address = address;
@@ -30,7 +30,7 @@
     server.is_primary = id == "p";
     return server;
   }
-  // All requests are of one session.
+  // Submits a request. All requests belong to the same session.
   RequestId Submit(int class_index, Micros timeout = kSecond) {
     ClientRequest request;
     request.class_index = class_index;
@@ -44,11 +44,12 @@
     dispatcher.OperationFinished(now, operation_id, std::move(outcome));
     CollectCommands();
   }
-  // Moves the clock, running each timer at its time.
+  // Advances the clock, handling each timer when it expires.
   void Advance(Micros span) {
     const Micros end = now + span;
-    for (auto due = dispatcher.NextTimerExpiry(); due && *due <= end; due = dispatcher.NextTimerExpiry()) {
-      now = std::max(now, *due);
+    for (auto expiry = dispatcher.NextTimerExpiry(); expiry && *expiry <= end;
+         expiry = dispatcher.NextTimerExpiry()) {
+      now = std::max(now, *expiry);
       dispatcher.Tick(now);
       CollectCommands();
     }
--- a/tests/dispatch/drain_test.cpp
+++ b/tests/dispatch/drain_test.cpp
@@ -7,8 +7,8 @@
 namespace tulipyoke {
 namespace {
 
-// Guards against a drain deadline that leaves a request without a response, submitted before or after the
-// deadline was set.
+// Guards against a request, submitted before or after the drain deadline was set, that has no response by the
+// deadline.
 TEST(DrainDeadline, EveryRequestIsAnsweredByTheDrainDeadline) {
   DispatcherHarness harness;
   const RequestId before = harness.Submit(kKeyedWrite, 5 * kSecond);
@@ -26,23 +26,24 @@
 }
 
 // Guards against a parked request that fails at the drain deadline although it was never sent and its client
-// could retry elsewhere; and against one that may have run and is rejected, which says a retry is harmless.
-TEST(DrainDeadline, TheDrainDeadlineRejectsWhatWasNeverSent) {
+// could retry elsewhere, and against rejecting a request that may have been executed, which would tell its
+// client that a retry is safe.
+TEST(DrainDeadline, AnUnsentRequestIsRejectedAtTheDrainDeadline) {
   DispatcherHarness harness;
-  const RequestId out = harness.Submit(kUnsafeWrite, 5 * kSecond);
+  const RequestId in_flight = harness.Submit(kUnsafeWrite, 5 * kSecond);
   ASSERT_EQ(harness.attempts.size(), 1u);
   harness.dispatcher.OperationWritten(harness.attempts[0].operation_id);
-  ListedServer drains = DispatcherHarness::Listed("p");
-  drains.state = ServerState::kDraining;
-  harness.dispatcher.UpdateEndpoints(harness.now, EndpointList{8, false, {drains}});
-  const RequestId held = harness.Submit(kUnsafeWrite, 5 * kSecond);
+  ListedServer draining = DispatcherHarness::ReadyServer("p");
+  draining.state = ServerState::kDraining;
+  harness.dispatcher.UpdateEndpoints(harness.now, EndpointList{8, false, {draining}});
+  const RequestId parked = harness.Submit(kUnsafeWrite, 5 * kSecond);
   EXPECT_EQ(harness.attempts.size(), 1u);
   harness.dispatcher.SetDrainDeadline(harness.now + 700 * kMs);
   harness.Advance(701 * kMs);
-  ASSERT_EQ(harness.responses[out].size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<FailedResponse>(harness.responses[out][0]));
-  ASSERT_EQ(harness.responses[held].size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<RejectedResponse>(harness.responses[held][0]));
+  ASSERT_EQ(harness.responses[in_flight].size(), 1u);
+  EXPECT_TRUE(std::holds_alternative<FailedResponse>(harness.responses[in_flight][0]));
+  ASSERT_EQ(harness.responses[parked].size(), 1u);
+  EXPECT_TRUE(std::holds_alternative<RejectedResponse>(harness.responses[parked][0]));
   EXPECT_EQ(harness.dispatcher.counters().overdue, 0u);
 }
 
--- a/tests/dispatch/in_flight_table_test.cpp
+++ b/tests/dispatch/in_flight_table_test.cpp
@@ -10,7 +10,7 @@
 constexpr RequestId kRequest = 7;
 constexpr ServerId kServer = 3;
 
-TEST(InFlightTable, ListsUnwrittenAttemptsOfOneRequestInTheOrderOfTheirStart) {
+TEST(InFlightTable, ListsTheUnwrittenAttemptsOfARequestInStartOrder) {
   InFlightTable table;
   table.AddRequest(kRequest, {});
   table.AddRequest(kRequest + 1, {});
@@ -22,11 +22,11 @@
   table.AddProbe(10, kServer);
   table.FindOperation(second)->written = true;
   EXPECT_EQ(table.UnwrittenAttempts(kRequest), (std::vector<OperationId>{first, third}));
-  EXPECT_EQ(table.EarliestStart(kRequest), 100);
+  EXPECT_EQ(table.EarliestAttemptStart(kRequest), 100);
   EXPECT_EQ(request.attempts_started, 3);
 }
 
-TEST(InFlightTable, AnOperationIsRemovedOnce) {
+TEST(InFlightTable, AnOperationIsRemovedOnlyOnce) {
   InFlightTable table;
   table.AddRequest(kRequest, {});
   const OperationId id = table.AddAttempt(100, kRequest, *table.FindRequest(kRequest), kServer);
@@ -36,7 +36,7 @@
   EXPECT_EQ(removed->server, kServer);
   EXPECT_FALSE(table.RemoveOperation(id));
   EXPECT_FALSE(table.FindAttempt(kRequest, 0));
-  EXPECT_FALSE(table.EarliestStart(kRequest));
+  EXPECT_FALSE(table.EarliestAttemptStart(kRequest));
   EXPECT_TRUE(table.RemoveRequest(kRequest));
   EXPECT_FALSE(table.RemoveRequest(kRequest));
 }
--- a/tests/dispatch/position_scale_test.cpp
+++ b/tests/dispatch/position_scale_test.cpp
@@ -5,21 +5,21 @@
 namespace tulipyoke {
 namespace {
 
-TEST(PositionScale, RoundsReadsDownAndCommitsUp) {
-  const PositionScale positions(1'000'500);  // half a millisecond after a whole one
-  EXPECT_EQ(positions.RoundDown(1003), 2);
-  EXPECT_EQ(positions.RoundUp(1003), 3);
-  EXPECT_EQ(positions.ToUnixMsRoundedDown(2), 1002);
-  EXPECT_EQ(positions.ToUnixMsRoundedUp(3), 1004);
-  EXPECT_DOUBLE_EQ(positions.ToReportSeconds(1003.9), 0.0025);
+TEST(PositionScale, RoundsReplicaPositionsDownAndCommitsUp) {
+  const PositionScale position_scale(1'000'500);  // half a millisecond after a whole millisecond
+  EXPECT_EQ(position_scale.FromUnixMsRoundedDown(1003), 2);
+  EXPECT_EQ(position_scale.FromUnixMsRoundedUp(1003), 3);
+  EXPECT_EQ(position_scale.ToUnixMsRoundedDown(2), 1002);
+  EXPECT_EQ(position_scale.ToUnixMsRoundedUp(3), 1004);
+  EXPECT_DOUBLE_EQ(position_scale.ToReportSeconds(1003.9), 0.0025);
 }
 
-TEST(PositionScale, HasNothingBeforeTheOrigin) {
-  const PositionScale positions(1'000'500);
-  EXPECT_FALSE(positions.IsAfterOrigin(1000));
-  EXPECT_TRUE(positions.IsAfterOrigin(1001));
-  EXPECT_EQ(positions.RoundDown(900), 0);
-  EXPECT_EQ(positions.RoundUp(900), 0);
+TEST(PositionScale, TimesBeforeTheEpochMapToZero) {
+  const PositionScale position_scale(1'000'500);
+  EXPECT_FALSE(position_scale.IsAfterEpoch(1000));
+  EXPECT_TRUE(position_scale.IsAfterEpoch(1001));
+  EXPECT_EQ(position_scale.FromUnixMsRoundedDown(900), 0);
+  EXPECT_EQ(position_scale.FromUnixMsRoundedUp(900), 0);
 }
 
 }  // namespace
--- a/tests/dispatch/reproducible.hpp
+++ b/tests/dispatch/reproducible.hpp
@@ -1,5 +1,5 @@
-// A hash and a random generator that give the same numbers with every standard library, for tests that
-// compare a run with a recorded one.
+// A hash function and a random number generator whose results do not depend on the standard library, for
+// tests that compare a run with recorded results.
 #ifndef TULIPYOKE_TESTS_DISPATCH_REPRODUCIBLE_HPP_
 #define TULIPYOKE_TESTS_DISPATCH_REPRODUCIBLE_HPP_
 
@@ -11,13 +11,13 @@
 // 64-bit FNV-1a over little-endian numbers and length-prefixed strings.
 class Fnv1a {
  public:
-  void Number(std::uint64_t number) {
-    for (int shift = 0; shift < 64; shift += 8) Byte(static_cast<unsigned char>(number >> shift));
+  void AddNumber(std::uint64_t number) {
+    for (int shift = 0; shift < 64; shift += 8) AddByte(static_cast<unsigned char>(number >> shift));
   }
-  void Signed(std::int64_t number) { Number(static_cast<std::uint64_t>(number)); }
-  void Text(std::string_view text) {
-    Number(text.size());
-    for (const char c : text) Byte(static_cast<unsigned char>(c));
+  void AddSigned(std::int64_t number) { AddNumber(static_cast<std::uint64_t>(number)); }
+  void AddText(std::string_view text) {
+    AddNumber(text.size());
+    for (const char c : text) AddByte(static_cast<unsigned char>(c));
   }
   std::uint64_t value() const { return value_; }
 
@@ -25,12 +25,12 @@
   static constexpr std::uint64_t kOffsetBasis = 14695981039346656037ULL;
   static constexpr std::uint64_t kPrime = 1099511628211ULL;
 
-  void Byte(unsigned char byte) { value_ = (value_ ^ byte) * kPrime; }
+  void AddByte(unsigned char byte) { value_ = (value_ ^ byte) * kPrime; }
 
   std::uint64_t value_ = kOffsetBasis;
 };
 
-// The pseudo-random generator SplitMix64.
+// The pseudo-random number generator SplitMix64.
 class SplitMix64 {
  public:
   explicit SplitMix64(std::uint64_t seed) : state_(seed) {}
--- a/tests/dispatch/response_stream_test.cpp
+++ b/tests/dispatch/response_stream_test.cpp
@@ -9,8 +9,8 @@
 namespace tulipyoke {
 namespace {
 
-// Guards against a deadline that cuts off a stream, and a stream whose end is reported twice or never.
-TEST(ResponseStream, AStreamIsEndedOnlyByItsServerOrItsClient) {
+// Guards against a deadline that ends a stream, and against a stream whose end is counted twice or never.
+TEST(ResponseStream, OnlyTheServerOrTheClientEndsAStream) {
   enum class End { kComplete, kAborted, kDisconnected };
   for (const End end : {End::kComplete, End::kAborted, End::kDisconnected}) {
     DispatcherHarness harness;
@@ -36,7 +36,7 @@
       harness.Finish(operation_id, {.status = status, .result = {"", "", "tag"}});
       EXPECT_EQ(stream->state(),
                 end == End::kComplete ? ResponseStream::State::kComplete : ResponseStream::State::kAborted);
-      EXPECT_EQ(harness.dispatcher.in_progress(), 1u);  // until the client has it
+      EXPECT_EQ(harness.dispatcher.in_progress(), 1u);  // until the client has received it
       harness.dispatcher.StreamDelivered(id);
     }
     harness.Finish(operation_id, {.status = Status::kReset});
@@ -50,21 +50,21 @@
   }
 }
 
-// Guards against a stream without a reader, and against losing the commit that the stream shows.
+// Guards against a stream that no client reads, and against losing the commit of its write.
 TEST(ResponseStream, NoStreamBeginsWithoutAWaitingClient) {
   DispatcherHarness harness;
   const RequestId id = harness.Submit(kKeyedWrite);
-  // Otherwise the disconnect would have cancelled it.
+  // Otherwise the disconnect would have cancelled the attempt.
   harness.dispatcher.OperationWritten(harness.attempts[0].operation_id);
   harness.dispatcher.ClientDisconnected(harness.now, id);
   EXPECT_FALSE(
       harness.dispatcher.BeginStream(harness.now, harness.attempts[0].operation_id, "shape", 100'000));
   EXPECT_EQ(harness.dispatcher.SessionSnapshot().size(), 1u);
   EXPECT_FALSE(harness.dispatcher.BeginStream(harness.now, harness.attempts[0].operation_id, "shape",
-                                              100'000));  // it is over
+                                              100'000));  // the attempt has finished
 }
 
-// Guards against a fast server filling the memory for a slow client.
+// Guards against unbounded buffering when the server is faster than the client.
 TEST(ResponseStream, LimitsItsBufferAndReportsWhenItIsWritable) {
   ResponseStream stream("shape", 1 << 20);
   int updates = 0, writable = 0;
@@ -81,7 +81,7 @@
   EXPECT_EQ(stream.Read().size(), 4 * piece.size());
   EXPECT_EQ(writable, 1);
   stream.Complete("tag");
-  stream.Abort();  // too late
+  stream.Abort();  // ignored after Complete
   EXPECT_EQ(stream.state(), ResponseStream::State::kComplete);
   EXPECT_EQ(updates, 6);
 }
--- a/tests/dispatch/router_harness.hpp
+++ b/tests/dispatch/router_harness.hpp
@@ -1,5 +1,5 @@
-// A Dispatcher and a UpstreamPool that run in the test's own thread. The test decides when the event loop
-// turns and which bytes a server sends, so that it chooses the order of two concurrent events.
+// A Dispatcher and an UpstreamPool that run in the thread of the test. The test runs the event loop and
+// decides which bytes a server sends, so that it controls the order of concurrent events.
 #ifndef TULIPYOKE_TESTS_DISPATCH_ROUTER_HARNESS_HPP_
 #define TULIPYOKE_TESTS_DISPATCH_ROUTER_HARNESS_HPP_
 
@@ -23,18 +23,18 @@
 
 namespace tulipyoke::net {
 
-using namespace standins;  // NOLINT: of the tests, for brevity
+using namespace standins;  // NOLINT: test code only
 
 class RouterHarness {
  public:
-  static Settings SingleClassSettings(Idempotency effect) {
+  static Settings SingleClassSettings(Idempotency idempotency) {
     Settings settings;
-    ClassSettings only_class;
-    only_class.name = "any";
-    only_class.latency_objective = only_class.deadline = 20'000'000;
-    only_class.idempotency = effect;
-    only_class.retry_window = 20'000'000;
-    settings.classes.push_back(only_class);
+    ClassSettings class_settings;
+    class_settings.name = "any";
+    class_settings.latency_objective = class_settings.deadline = 20'000'000;
+    class_settings.idempotency = idempotency;
+    class_settings.retry_window = 20'000'000;
+    settings.classes.push_back(class_settings);
     return settings;
   }
   explicit RouterHarness(const Settings& settings = SingleClassSettings(Idempotency::kNone),
@@ -74,21 +74,21 @@
     dispatcher.ClientDisconnected(clock.Now(), id);
     RunTimers();
   }
-  // Lets the loop learn of all socket events up to now without running their handlers.
+  // Polls the sockets, so that the handlers of all socket events up to now are queued but not run.
   void AwaitSocketEvents() {
     bool ran = false;
     asio::post(io, [&] { ran = true; });
     while (!ran) io.poll_one();
   }
-  // Runs the loop until nothing is ready, in as many turns as it takes. As in the router, timers run after
-  // the handlers of a turn.
+  // Runs as many iterations of the loop as there are ready handlers. As in the router, timers are handled
+  // after the other handlers of an iteration.
   void RunUntilIdle() {
     for (bool ran = true; ran; RunTimers()) {
       clock.BeginIteration();
       for (ran = false; io.poll_one() > 0; ran = true) ExecuteCommands();
     }
   }
-  // Runs the loop until `done`; false, and a test failure, if that does not happen within ten seconds.
+  // Runs the loop until `done` returns true. Returns false and fails the test if that takes over ten seconds.
   template <typename Done>
   bool RunUntil(const Done& done) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(10);
@@ -139,13 +139,13 @@
   std::uint64_t list_version_ = 1;
 };
 
-// A listening server whose connections the test reads and writes by itself, numbered in the order in which
-// they were accepted.
+// A listening server whose connections the test reads and writes itself. Connections are numbered in the
+// order in which they were accepted.
 class ManualServer {
  public:
   ManualServer() : acceptor_(io_, Loopback(0)) { acceptor_.non_blocking(true); }
   std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
-  // Accepts the next connection; false if none is there yet.
+  // Accepts the next connection. Returns false if none is pending.
   bool Accept() {
     std::error_code error;
     tcp::socket socket = acceptor_.accept(error);
@@ -155,31 +155,31 @@
     received.emplace_back();
     return true;
   }
-  // Reads what has arrived on the connection; true once it has been closed.
-  bool ReadAvailable(std::size_t which) {
+  // Reads all bytes that have arrived on the connection. Returns true if it is closed or broken.
+  bool ReadAvailable(std::size_t connection) {
     std::array<char, 65536> bytes;
     for (;;) {
       std::error_code error;
-      const std::size_t size = sockets[which].read_some(asio::buffer(bytes), error);
-      received[which].append(bytes.data(), size);
+      const std::size_t size = sockets[connection].read_some(asio::buffer(bytes), error);
+      received[connection].append(bytes.data(), size);
       if (error == asio::error::would_block) return false;
       if (error) return true;
     }
   }
-  // Whether the bytes that arrived on the connection contain the text.
-  bool Received(std::size_t which, const std::string& text) {
-    ReadAvailable(which);
-    return received[which].find(text) != std::string::npos;
+  // Whether the bytes received so far on the connection contain the text.
+  bool Received(std::size_t connection, const std::string& text) {
+    ReadAvailable(connection);
+    return received[connection].find(text) != std::string::npos;
   }
-  void Send(std::size_t which, const std::string& bytes) {
+  void Send(std::size_t connection, const std::string& bytes) {
     std::error_code ignored;
-    asio::write(sockets[which], asio::buffer(bytes), ignored);
+    asio::write(sockets[connection], asio::buffer(bytes), ignored);
   }
-  void CompleteStartup(std::size_t which) {
+  void CompleteStartup(std::size_t connection) {
     std::string hello;
     pg::AppendAuthenticationOk(hello);
     pg::AppendReadyForQuery(hello);
-    Send(which, hello);
+    Send(connection, hello);
   }
 
  private:
--- a/tests/dispatch/statistics_test.cpp
+++ b/tests/dispatch/statistics_test.cpp
@@ -7,8 +7,8 @@
 namespace tulipyoke {
 namespace {
 
-// Guards against statistics that count probes, or requests before or without their response.
-TEST(DispatchStatistics, CountResponsesByClassAndCompletelyWrittenAttempts) {
+// Guards against statistics that count probes, or requests that have no response yet.
+TEST(DispatchStatistics, CountsResponsesByClassAndCompletelyWrittenAttempts) {
   DispatcherHarness harness;
   const RequestId first = harness.Submit(kAnyRead);
   harness.Submit(kKeyedWrite);
@@ -17,7 +17,7 @@
   if (!harness.probes.empty()) harness.dispatcher.OperationWritten(harness.probes[0].operation_id);
   EXPECT_EQ(harness.dispatcher.StatisticsAt(harness.now).in_progress, 2u);
   harness.Finish(harness.attempts[0].operation_id, {.status = Status::kOk});
-  harness.dispatcher.OperationWritten(harness.attempts[0].operation_id);  // it is over
+  harness.dispatcher.OperationWritten(harness.attempts[0].operation_id);  // ignored: the attempt has finished
   EXPECT_EQ(harness.responses[first].size(), 1u);
   harness.dispatcher.CountLocalResponse(kAnyRead, RejectedResponse{});
   harness.dispatcher.CountLocalResponse(kAnyRead, FailedResponse{});
@@ -30,14 +30,14 @@
   EXPECT_EQ(statistics.in_progress, 1u);
   EXPECT_EQ(statistics.known_servers, 3u);
   EXPECT_EQ(statistics.skipped_servers, 0u);
-  ListedServer server = DispatcherHarness::Listed("q");
+  ListedServer server = DispatcherHarness::ReadyServer("q");
   server.state = ServerState::kDraining;
   harness.dispatcher.UpdateEndpoints(harness.now, {8, false, {server}});
   EXPECT_EQ(harness.dispatcher.StatisticsAt(harness.now).known_servers, 3u);
   EXPECT_EQ(harness.dispatcher.StatisticsAt(harness.now).skipped_servers, 1u);
 }
 
-TEST(DispatchStatistics, HaveNamesInTheirText) {
+TEST(DispatchStatistics, TextContainsTheCounterNames) {
   DispatchCounters counters;
   counters.received = 3;
   counters.attempt_outcomes[IndexOf(Status::kTimeout)] = 2;
--- a/tests/dispatch/trace_test.cpp
+++ b/tests/dispatch/trace_test.cpp
@@ -7,7 +7,7 @@
 namespace tulipyoke::trace {
 namespace {
 
-TEST(Trace, EachStepHasItsText) {
+TEST(Trace, EachEventHasItsText) {
   EXPECT_EQ(ToText(RequestReceived{"a1", 7, "any", 2, 900, 0, {}}),
             "taken id=a1 request=7 class=any group=2 wait=900");
   EXPECT_EQ(ToText(RequestReceived{"a1", 7, "any", 2, 900, 30, 5}),
@@ -23,7 +23,7 @@
             "heard complete=1 p state=1 q state=0");
 }
 
-TEST(Trace, TheClientsIdComesFromTheLastComment) {
+TEST(Trace, TheClientRequestIdComesFromTheLastComment) {
   const RequestPayload named{"SELECT '/* id=no */' /* id=abc, class=any */", 0, 0};
   EXPECT_EQ(ClientRequestId(&named), "abc");
   const RequestPayload unnamed{"SELECT 1", 0, 0};
--- a/tests/dispatch/write_barrier_test.cpp
+++ b/tests/dispatch/write_barrier_test.cpp
@@ -1,4 +1,5 @@
-// A request that was sent behind a write of its session, on the same connection and before that was answered.
+// Tests requests that a client sends after a write of the same session, on the same connection and before the
+// response to the write.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -12,15 +13,15 @@
 namespace tulipyoke {
 namespace {
 
-// The exchange on a fake clock; a primary and a replica are known.
+// A Dispatcher with a fake clock, a primary and a replica. A write is in flight.
 class WriteBarrierTest : public testing::Test {
  protected:
   WriteBarrierTest() : dispatcher({TestSettings(), 1, {}, {}, 250 * kMs}) {
-    dispatcher.Start(now, EndpointList{1, true, {Listed("p", true), Listed("r", false)}});
+    dispatcher.Start(now, EndpointList{1, true, {ReadyServer("p", true), ReadyServer("r", false)}});
     write = Submit(kKeyedWrite, {});
-    Collect();
+    CollectCommands();
   }
-  static ListedServer Listed(const std::string& id, bool is_primary) {
+  static ListedServer ReadyServer(const std::string& id, bool is_primary) {
     ListedServer server;
     server.id = id;
     server.address = "127.0.0.1:1";
@@ -38,38 +39,38 @@
     request.preceding_write = preceding_write;
     return dispatcher.Submit(now, request);
   }
-  void Collect() {
+  void CollectCommands() {
     for (const Command& command : dispatcher.TakeCommands()) {
       if (const auto* attempt = std::get_if<StartAttempt>(&command)) attempts.push_back(*attempt);
-      if (const auto* answer = std::get_if<SendResponse>(&command))
-        answers.emplace(answer->id, answer->response);
+      if (const auto* send = std::get_if<SendResponse>(&command)) responses.emplace(send->id, send->response);
     }
   }
-  void PassUntil(Micros when) {
-    for (auto due = dispatcher.NextTimerExpiry(); due && *due <= when; due = dispatcher.NextTimerExpiry()) {
-      now = std::max(now, *due);
+  void AdvanceTo(Micros end) {
+    for (auto expiry = dispatcher.NextTimerExpiry(); expiry && *expiry <= end;
+         expiry = dispatcher.NextTimerExpiry()) {
+      now = std::max(now, *expiry);
       dispatcher.Tick(now);
-      Collect();
+      CollectCommands();
     }
-    now = when;
+    now = end;
   }
-  bool IsRefused(RequestId id) {
-    const auto it = answers.find(id);
-    return it != answers.end() && std::holds_alternative<RejectedResponse>(it->second);
+  bool IsRejected(RequestId id) {
+    const auto it = responses.find(id);
+    return it != responses.end() && std::holds_alternative<RejectedResponse>(it->second);
   }
 
   Micros now = 1'767'225'600 * kSecond;
   Dispatcher dispatcher;
   std::vector<StartAttempt> attempts;
-  std::map<RequestId, Response> answers;
+  std::map<RequestId, Response> responses;
   RequestId write = 0;
 };
 
-// Guards against a read that is begun before the commit that it has to see is known.
-TEST_F(WriteBarrierTest, ItsFollowerIsBegunOnceItsCommitIsKnown) {
+// Guards against sending a read before the commit that it must see is known.
+TEST_F(WriteBarrierTest, AFollowingReadIsSentOnceTheCommitIsKnown) {
   ASSERT_EQ(attempts.size(), 1u);
   Submit(kSessionRead, write);
-  Collect();
+  CollectCommands();
   EXPECT_EQ(attempts.size(), 1u);
   now += 10 * kMs;
   Outcome outcome{.status = Status::kOk, .result = {"s", "v", "t"}};
@@ -77,58 +78,58 @@
   outcome.position_unix_ms = now / 1000;
   dispatcher.OperationWritten(attempts[0].operation_id);
   dispatcher.OperationFinished(now, attempts[0].operation_id, outcome);
-  Collect();
-  ASSERT_TRUE(answers.contains(write));
-  // No replica has shown the commit: the read is not begun at one that could be too far behind.
+  CollectCommands();
+  ASSERT_TRUE(responses.contains(write));
+  // No replica has reported the commit, so the read is not sent to a replica, which could be too far behind.
   for (std::size_t i = 1; i < attempts.size(); ++i) EXPECT_NE(attempts[i].server, 2u);
   EXPECT_EQ(dispatcher.SessionSnapshot().size(), 1u);
 }
 
-// Guards against a follower that waits for longer than its own time leaves.
-TEST_F(WriteBarrierTest, AFollowerIsRefusedByHalfOfItsTime) {
-  const RequestId follower = Submit(kSessionRead, write);
-  Collect();
-  PassUntil(now + 499 * kMs);
-  EXPECT_FALSE(answers.contains(follower));
-  PassUntil(now + 2 * kMs);
-  EXPECT_TRUE(IsRefused(follower));
+// Guards against a request that waits for a preceding write for longer than its own timeout allows.
+TEST_F(WriteBarrierTest, AFollowingReadIsRejectedAfterHalfOfItsTimeout) {
+  const RequestId following = Submit(kSessionRead, write);
+  CollectCommands();
+  AdvanceTo(now + 499 * kMs);
+  EXPECT_FALSE(responses.contains(following));
+  AdvanceTo(now + 2 * kMs);
+  EXPECT_TRUE(IsRejected(following));
   EXPECT_EQ(attempts.size(), 1u);
 }
 
-// Guards against a follower that waits for ever for a write whose client has left, and one that is begun for
-// a client that has left itself.
-TEST_F(WriteBarrierTest, LeavingEndsWhatWaits) {
-  const RequestId follower = Submit(kSessionRead, write);
-  const RequestId gone = Submit(kSessionRead, write);
-  dispatcher.ClientDisconnected(now, gone);
+// Guards against a request that waits forever for a write whose client has disconnected, and against sending
+// a waiting request whose own client has disconnected.
+TEST_F(WriteBarrierTest, DisconnectsEndTheWait) {
+  const RequestId following = Submit(kSessionRead, write);
+  const RequestId disconnected = Submit(kSessionRead, write);
+  dispatcher.ClientDisconnected(now, disconnected);
   dispatcher.ClientDisconnected(now, write);
-  Collect();
-  EXPECT_FALSE(answers.contains(gone));
-  PassUntil(now + 2 * kSecond);
-  EXPECT_TRUE(answers.contains(follower));
-  EXPECT_FALSE(answers.contains(gone));
+  CollectCommands();
+  EXPECT_FALSE(responses.contains(disconnected));
+  AdvanceTo(now + 2 * kSecond);
+  EXPECT_TRUE(responses.contains(following));
+  EXPECT_FALSE(responses.contains(disconnected));
   EXPECT_EQ(dispatcher.in_progress(), 0u);
 }
 
-// Guards against a planned end that fails what waits and was never sent.
-TEST_F(WriteBarrierTest, APlannedEndRefusesAFollower) {
-  const RequestId follower = Submit(kSessionRead, write);
+// Guards against failing a waiting request at the drain deadline although it was never sent.
+TEST_F(WriteBarrierTest, ADrainDeadlineRejectsAWaitingRequest) {
+  const RequestId following = Submit(kSessionRead, write);
   dispatcher.SetDrainDeadline(now + 100 * kMs);
-  PassUntil(now + 101 * kMs);
-  EXPECT_TRUE(IsRefused(follower));
+  AdvanceTo(now + 101 * kMs);
+  EXPECT_TRUE(IsRejected(following));
 }
 
-// Guards against time that counts from when a request is handed in: one that came long ago is refused without
-// an attempt, one that came a moment ago has what is left.
-TEST_F(WriteBarrierTest, TimeCountsFromTheArrival) {
+// Guards against a timeout that starts when the request is submitted: a request that arrived long ago is
+// rejected without an attempt, and one that arrived recently has the remaining time.
+TEST_F(WriteBarrierTest, TheTimeoutStartsAtTheArrival) {
   const RequestId late = Submit(kAnyRead, {}, now - kSecond);
-  Collect();
-  EXPECT_TRUE(IsRefused(late));
+  CollectCommands();
+  EXPECT_TRUE(IsRejected(late));
   EXPECT_EQ(attempts.size(), 1u);
   Submit(kAnyRead, {}, now - 100 * kMs);
-  Collect();
+  CollectCommands();
   ASSERT_EQ(attempts.size(), 2u);
-  EXPECT_EQ(attempts[1].deadline, now + 300 * kMs);  // of an aim of 400 ms
+  EXPECT_EQ(attempts[1].deadline, now + 300 * kMs);  // 400 ms latency objective
 }
 
 }  // namespace
