--- a/tests/dispatch/command_oracle_test.cpp
+++ b/tests/dispatch/command_oracle_test.cpp
@@ -37,7 +37,7 @@
 Settings SettingsOf(RunKind kind) {
   Settings settings = TestSettings();
   settings.tenants.resize(2);
-  settings.position_epoch = kRunStart - 600 * kSecond + 500;  // not a whole millisecond
+  settings.position_epoch = kRunStart - 600 * kSecond + 500;  // half a millisecond off a whole one
   if (kind == RunKind::kOtherSettings) {
     settings.listed_role = ListedRole::kNever;
     settings.max_attempts = 2;
--- a/tests/dispatch/session_consistency_test.cpp
+++ b/tests/dispatch/session_consistency_test.cpp
@@ -12,7 +12,7 @@
 // rounded down and commits are rounded up.
 TEST(SessionConsistency, ASessionReadWaitsForTheCommitRoundedUp) {
   Settings settings = TestSettings();
-  settings.position_epoch = 1'767'225'000 * kSecond + 500;  // not a whole millisecond
+  settings.position_epoch = 1'767'225'000 * kSecond + 500;  // half a millisecond off a whole one
   settings.listed_role = ListedRole::kNever;
   DispatcherHarness harness(settings);
   const std::int64_t unix_ms = harness.now / 1000;
