--- a/src/config/listing_json.cpp
+++ b/src/config/listing_json.cpp
@@ -38,7 +38,7 @@
     entry.group = static_cast<int>(ValueOrDefault<double>(json, "cell", 0));
     entry.capacity_hint = ValueOrDefault<double>(json, "size", 1);
     entry.started_unix_ms = static_cast<std::int64_t>(ValueOrDefault<double>(json, "up_since_ms", 0));
-    entry.leads = ValueOrDefault<std::string>(json, "replication", "") == "primary";
+    entry.is_primary = ValueOrDefault<std::string>(json, "replication", "") == "primary";
     const std::optional<ServerState> state =
         StateFromPhase(ValueOrDefault<std::string>(json, "phase", "in_service"));
     if (entry.id.empty() || !state) return std::nullopt;
