--- a/src/endpoints/endpoint_table.cpp
+++ b/src/endpoints/endpoint_table.cpp
@@ -18,10 +18,10 @@
   const bool cached = update.kind == EndpointListKind::kCached;
   if (cached || update.kind == EndpointListKind::kFull) CloseUnlisted(update);
   for (const EndpointEntry& entry : update.entries) ApplyEntry(entry, cached, checks, scope);
-  for (auto& [number, group] : groups_) FindPrimary(group);
+  for (auto& [number, group] : groups_) UpdatePrimary(group);
   const auto open =
       std::count_if(servers_.begin(), servers_.end(), [](const auto& known) { return known.second.open; });
-  most_open_ = std::max(most_open_, static_cast<std::size_t>(open));
+  peak_open_count_ = std::max(peak_open_count_, static_cast<std::size_t>(open));
 }
 
 void EndpointTable::CloseUnlisted(const EndpointListUpdate& update) {
@@ -41,7 +41,7 @@
   SetState(server, entry.state);
   if (entry.boot_time > server.boot_time) {
     server.boot_time = entry.boot_time;
-    server.Restarted(std::max(server.slow_start_from, entry.boot_time));
+    server.OnRestart(std::max(server.slow_start_from, entry.boot_time));
   } else if (!known && !cached && entry.boot_time == 0) {
     server.slow_start_from = scope.now;
   }
@@ -72,11 +72,11 @@
   if (role == Role::kUnknown || when < server.role_time) return;
   server.role = role;
   server.role_time = when;
-  FindPrimary(groups_[server.group]);
+  UpdatePrimary(groups_[server.group]);
 }
 
 // The group's primary is the member that was last seen to be one, else the one that is listed as such.
-void EndpointTable::FindPrimary(Group& group) {
+void EndpointTable::UpdatePrimary(Group& group) {
   const Server* primary = nullptr;
   const Server* listed = nullptr;
   for (const ServerId id : group.members) {
@@ -90,19 +90,19 @@
   group.primary = primary ? primary->id : 0;
 }
 
-void EndpointTable::NoteOpenServers(Micros now) {
+void EndpointTable::UpdateLastOpenTimes(Micros now) {
   for (auto& [id, server] : servers_) {
     if (server.open) server.last_open = now;
   }
 }
 
-void EndpointTable::DropGoneServers(Micros now) {
+void EndpointTable::RemoveGoneServers(Micros now) {
   const auto is_gone = [&](const Server& server) {
     return !server.open && !server.health_check.in_progress && server.in_flight.empty() &&
-           now - server.last_open > context_.scales.forget_after;
+           now - server.last_open > context_.scales.unlisted_retention;
   };
   for (auto& [number, group] : groups_) {
-    if (std::erase_if(group.members, [&](ServerId id) { return is_gone(At(id)); }) > 0) FindPrimary(group);
+    if (std::erase_if(group.members, [&](ServerId id) { return is_gone(At(id)); }) > 0) UpdatePrimary(group);
   }
   std::erase_if(servers_, [&](const auto& entry) { return is_gone(entry.second); });
 }
--- a/src/endpoints/endpoint_table.hpp
+++ b/src/endpoints/endpoint_table.hpp
@@ -28,7 +28,7 @@
   std::map<ServerId, Server>& servers() { return servers_; }
   std::map<int, Group>& groups() { return groups_; }
   // The most servers that were open at once.
-  std::size_t most_open() const { return most_open_; }
+  std::size_t peak_open_count() const { return peak_open_count_; }
 
   // Takes in an update, and requests health checks of servers that joined.
   void Apply(const EndpointListUpdate& update, HealthChecks& checks, EventScope& scope);
@@ -36,20 +36,20 @@
   void ObserveRole(Server& server, Role role, Micros when);
   // Notes which servers are open now, and drops those that left long ago and have nothing in flight: servers
   // are replaced by others under new ids for ever.
-  void NoteOpenServers(Micros now);
-  void DropGoneServers(Micros now);
+  void UpdateLastOpenTimes(Micros now);
+  void RemoveGoneServers(Micros now);
 
  private:
   void CloseUnlisted(const EndpointListUpdate& update);
   void ApplyEntry(const EndpointEntry& entry, bool cached, HealthChecks& checks, EventScope& scope);
   Server& AddServer(const EndpointEntry& entry, Micros now);
   void SetState(Server& server, ServerState state) const;
-  void FindPrimary(Group& group);
+  void UpdatePrimary(Group& group);
 
   const RoutingContext& context_;
   std::map<ServerId, Server> servers_;
   std::map<int, Group> groups_;
-  std::size_t most_open_ = 0;
+  std::size_t peak_open_count_ = 0;
 };
 
 }  // namespace tulipyoke::endpoints
--- a/src/endpoints/health_checks.cpp
+++ b/src/endpoints/health_checks.cpp
@@ -9,9 +9,9 @@
 // show.
 constexpr double kChecksPerRequest = 0.2;
 // The checks that all routers together may request at once.
-constexpr double kBurst = 20.0;
+constexpr double kTotalBurst = 20.0;
 
-double BurstPerRouter(const Settings& settings) { return std::max(1.0, kBurst / settings.router_count); }
+double BurstPerRouter(const Settings& settings) { return std::max(1.0, kTotalBurst / settings.router_count); }
 
 }  // namespace
 
@@ -23,17 +23,17 @@
 void HealthChecks::Request(Server& server, Micros min_interval, EventScope& scope) {
   HealthCheckState& check = server.health_check;
   if (!context_.settings.health_checks_allowed || check.in_progress || !server.open) return;
-  const bool paced = min_interval > 0 && check.sent != kNever;
-  if (paced && scope.now - check.sent < std::max(min_interval, check.interval)) return;
-  if (!budget_.TryTake(1)) return;
+  const bool rate_limited = min_interval > 0 && check.sent != kNever;
+  if (rate_limited && scope.now - check.sent < std::max(min_interval, check.interval)) return;
+  if (!budget_.TryConsume(1)) return;
   check.in_progress = true;
   check.sent = scope.now;
   scope.actions.emplace_back(CheckHealth{server.id});
 }
 
-void HealthChecks::SetInterval(HealthCheckState& check, bool newer_position) const {
-  const Micros shortest = context_.scales.check_interval;
-  const Micros longest = estimates::kChecksPerObjective * shortest;
+void HealthChecks::UpdateInterval(HealthCheckState& check, bool newer_position) const {
+  const Micros shortest = context_.scales.housekeeping_interval;
+  const Micros longest = estimates::kHousekeepingRunsPerObjective * shortest;
   const Micros doubled = 2 * std::max(check.interval, shortest);
   check.interval = newer_position ? shortest : std::min(longest, doubled);
 }
--- a/src/endpoints/health_checks.hpp
+++ b/src/endpoints/health_checks.hpp
@@ -16,12 +16,12 @@
   // A request has arrived: the budget grows by a share of a check.
   void Refill();
   // Takes a check from the budget for a read that is itself sent to learn a server's position.
-  bool TakeForRead() { return budget_.TryTake(1); }
+  bool TryConsumeForRead() { return budget_.TryConsume(1); }
   // Requests a check unless one is in progress, the last one is more recent than `min_interval` (0: at any
   // time), or the budget is spent.
   void Request(Server& server, Micros min_interval, EventScope& scope);
   // Sets the interval to the next check by whether the last one showed a newer position.
-  void SetInterval(HealthCheckState& check, bool newer_position) const;
+  void UpdateInterval(HealthCheckState& check, bool newer_position) const;
 
  private:
   const RoutingContext& context_;
--- a/src/endpoints/list_refresh.hpp
+++ b/src/endpoints/list_refresh.hpp
@@ -13,13 +13,13 @@
   explicit ListRefresh(const RoutingContext& context) : context_(context) {}
 
   // The list could not be had: ask again soon.
-  void Failed(Micros now) { next_ = now + context_.scales.longest_objective; }
+  void OnFetchFailed(Micros now) { next_refresh_ = now + context_.scales.longest_objective; }
   // Asks where it is due.
   void RunIfDue(EventScope& scope);
 
  private:
   const RoutingContext& context_;
-  Micros next_ = 0;
+  Micros next_refresh_ = 0;
 };
 
 }  // namespace tulipyoke::endpoints
--- a/src/endpoints/outcome_observer.cpp
+++ b/src/endpoints/outcome_observer.cpp
@@ -12,59 +12,62 @@
 constexpr Micros kMicrosPerMilli = 1000;
 // An answer later than this share of its objective is a sign of overload: a whole objective leaves nothing
 // for waiting or a retry.
-constexpr double kLateObjectiveShare = 0.6;
+constexpr double kLateThresholdShare = 0.6;
 // An answer of a primary within so many usual times says that it has spare capacity.
-constexpr double kQuickUsualTimes = 2.0;
+constexpr double kFastThresholdRatio = 2.0;
 
 }  // namespace
 
 void OutcomeObserver::ObserveAttempt(Server& server, const InFlightAttempt& attempt,
                                      const AttemptEnded& outcome, Micros now) {
-  LearnLatency(server, attempt.class_index, outcome, now);
-  LearnLoad(server, attempt.class_index, outcome, now);
-  LearnData(server, attempt, outcome, now);
+  UpdateLatencyModel(server, attempt.class_index, outcome, now);
+  UpdateLoadLimits(server, attempt.class_index, outcome, now);
+  UpdateRoleAndPosition(server, attempt, outcome, now);
   ObserveReport(server, outcome.report, now);
 }
 
-void OutcomeObserver::LearnLatency(Server& server, int class_index, const AttemptEnded& outcome, Micros now) {
+void OutcomeObserver::UpdateLatencyModel(Server& server, int class_index, const AttemptEnded& outcome,
+                                         Micros now) {
   if (outcome.status == Status::kTimeout) {
-    const auto expected = static_cast<Micros>(context_.latency.Expected(server.slowness, class_index, now));
-    context_.latency.Learn(server.slowness, class_index, std::max(outcome.elapsed, expected), now);
+    const auto expected =
+        static_cast<Micros>(context_.latency.ExpectedLatency(server.latency_ratio, class_index, now));
+    context_.latency.AddSample(server.latency_ratio, class_index, std::max(outcome.elapsed, expected), now);
   }
   if (outcome.status != Status::kOk) return;
-  context_.latency.Learn(server.slowness, class_index, outcome.elapsed, now);
-  server.throughput.Add(now, context_.latency.Usual(class_index), context_.scales.work_span);
+  context_.latency.AddSample(server.latency_ratio, class_index, outcome.elapsed, now);
+  server.throughput.Add(now, context_.latency.TypicalLatency(class_index), context_.scales.throughput_window);
 }
 
 // A short time-out is the client's or that of a wait, and no sign of the server.
-OutcomeTiming TimingOf(const AttemptEnded& outcome, const ClassSettings& c) {
-  const double late_after = kLateObjectiveShare * static_cast<double>(c.latency_objective);
-  const bool late = static_cast<double>(outcome.elapsed) > late_after;
+OutcomeTiming ClassifyTiming(const AttemptEnded& outcome, const ClassSettings& c) {
+  const double late_threshold = kLateThresholdShare * static_cast<double>(c.latency_objective);
+  const bool late = static_cast<double>(outcome.elapsed) > late_threshold;
   const bool ok = outcome.status == Status::kOk;
   const bool timed = ok || outcome.status == Status::kTimeout;
   return {.in_time = ok && !late, .overloaded = outcome.status == Status::kOverloaded || (late && timed)};
 }
 
-void OutcomeObserver::LearnLoad(Server& server, int class_index, const AttemptEnded& outcome, Micros now) {
-  const OutcomeTiming timing = TimingOf(outcome, context_.ClassOf(class_index));
-  const Micros interval = context_.scales.check_interval;
-  if (timing.overloaded) server.concurrency_limit.Cut(now, server.in_flight.size(), interval);
-  if (timing.in_time) server.concurrency_limit.Raise();
+void OutcomeObserver::UpdateLoadLimits(Server& server, int class_index, const AttemptEnded& outcome,
+                                       Micros now) {
+  const OutcomeTiming timing = ClassifyTiming(outcome, context_.ClassOf(class_index));
+  const Micros interval = context_.scales.housekeeping_interval;
+  if (timing.overloaded) server.concurrency_limit.Decrease(now, server.in_flight.size(), interval);
+  if (timing.in_time) server.concurrency_limit.Increase();
   Group& group = table_.GroupAt(server.group);
-  const Micros fade_span = context_.scales.fade_span;
+  const Micros decay_time = context_.scales.decay_time;
   if (group.primary == server.id) {
     const bool ok = outcome.status == Status::kOk;
-    const double quick_within = kQuickUsualTimes * context_.latency.Usual(class_index);
-    const bool quick = ok && static_cast<double>(outcome.elapsed) < quick_within;
-    const limits::PrimaryAnswer answer{quick, timing.overloaded || (ok && !quick)};
-    group.headroom.Observe(now, fade_span, context_.settings.router_count, answer);
+    const double fast_threshold = kFastThresholdRatio * context_.latency.TypicalLatency(class_index);
+    const bool fast = ok && static_cast<double>(outcome.elapsed) < fast_threshold;
+    const limits::PrimaryResponse response{fast, timing.overloaded || (ok && !fast)};
+    group.headroom.Observe(now, decay_time, context_.settings.router_count, response);
   } else if (timing.in_time || timing.overloaded) {
-    group.admission.Observe(now, fade_span, interval, timing.in_time);
+    group.admission.Observe(now, decay_time, interval, timing.in_time);
   }
 }
 
-void OutcomeObserver::LearnData(Server& server, const InFlightAttempt& attempt, const AttemptEnded& outcome,
-                                Micros now) {
+void OutcomeObserver::UpdateRoleAndPosition(Server& server, const InFlightAttempt& attempt,
+                                            const AttemptEnded& outcome, Micros now) {
   const bool write = context_.ClassOf(attempt.class_index).freshness == Freshness::kWrite;
   table_.ObserveRole(server, outcome.role, now);
   const bool rejected_write = write && outcome.status == Status::kStaleOrWrongRole;
@@ -81,8 +84,8 @@
                                    const AttemptEnded& outcome, Micros now) {
   if (context_.settings.token_mode != TokenMode::kRemembered || attempt.key == 0) return;
   // A commit whose position is not told is taken to be now: to round up is safe.
-  const bool told = outcome.position_ms.has_value();
-  const Micros position = told ? *outcome.position_ms * kMicrosPerMilli : context_.PositionAt(now);
+  const bool has_position = outcome.position_ms.has_value();
+  const Micros position = has_position ? *outcome.position_ms * kMicrosPerMilli : context_.PositionAt(now);
   tokens_.Record(attempt.key, server.group, position);
 }
 
--- a/src/endpoints/outcome_observer.hpp
+++ b/src/endpoints/outcome_observer.hpp
@@ -13,7 +13,7 @@
   bool in_time = false;
   bool overloaded = false;  // a sign that the server has too much to do
 };
-OutcomeTiming TimingOf(const AttemptEnded& outcome, const ClassSettings& c);
+OutcomeTiming ClassifyTiming(const AttemptEnded& outcome, const ClassSettings& c);
 
 class OutcomeObserver {
  public:
@@ -29,10 +29,10 @@
   void ObserveServer(Server& server, const ServerObservation& observation, Micros now);
 
  private:
-  void LearnLatency(Server& server, int class_index, const AttemptEnded& outcome, Micros now);
-  void LearnLoad(Server& server, int class_index, const AttemptEnded& outcome, Micros now);
-  void LearnData(Server& server, const estimates::InFlightAttempt& attempt, const AttemptEnded& outcome,
-                 Micros now);
+  void UpdateLatencyModel(Server& server, int class_index, const AttemptEnded& outcome, Micros now);
+  void UpdateLoadLimits(Server& server, int class_index, const AttemptEnded& outcome, Micros now);
+  void UpdateRoleAndPosition(Server& server, const estimates::InFlightAttempt& attempt,
+                             const AttemptEnded& outcome, Micros now);
   void RecordCommit(const Server& server, const estimates::InFlightAttempt& attempt,
                     const AttemptEnded& outcome, Micros now);
   void ObservePosition(Server& server, Micros position, estimates::PositionKind kind, Micros now);
--- a/src/endpoints/server.cpp
+++ b/src/endpoints/server.cpp
@@ -2,29 +2,29 @@
 
 namespace tulipyoke::endpoints {
 
-void Server::Restarted(Micros when) {
+void Server::OnRestart(Micros when) {
   slow_start_from = when;
-  slowness.Reset();
-  position.ResetRate();
+  latency_ratio.Reset();
+  position.ResetApplyRate();
   failures.Reset();
   queue.Reset();
   concurrency_limit.Reset();
-  ejection.Restarted(when);
+  ejection.OnRestart(when);
 }
 
-void Server::Answered(Micros now, Micros restart_time) {
-  last_answer = now;
-  if (ejection.Answered(now, restart_time)) Restarted(now);
+void Server::OnResponse(Micros now, Micros restart_time) {
+  last_response = now;
+  if (ejection.OnResponse(now, restart_time)) OnRestart(now);
   ejection.Reinstate();
 }
 
 bool Server::AdmitsTrial(bool health_checks_allowed) const {
   if (!ejection.ejected()) return true;
-  const bool checked = !health_checks_allowed || health_check.succeeded >= ejection.since();
-  return checked && !in_flight.HasSentSince(ejection.since());
+  const bool checked = !health_checks_allowed || health_check.succeeded >= ejection.last_ejected();
+  return checked && !in_flight.HasActiveSentSince(ejection.last_ejected());
 }
 
-double Server::FailureShare(Micros now, const estimates::TimeScales& scales) const {
+double Server::FailureRate(Micros now, const estimates::TimeScales& scales) const {
   return failures.At(now, scales.longest_objective);
 }
 
--- a/src/endpoints/server.hpp
+++ b/src/endpoints/server.hpp
@@ -31,14 +31,14 @@
 
 struct Server {
   // The server was started at `when`: what was learned of the process before does not hold for this one.
-  void Restarted(Micros when);
+  void OnRestart(Micros when);
   // Notes an answer of the server, whatever its outcome.
-  void Answered(Micros now, Micros restart_time);
+  void OnResponse(Micros now, Micros restart_time);
   // Whether an attempt may go there as far as ejection goes: one at a time tries an ejected server, and only
   // after a health check that succeeded since.
   bool AdmitsTrial(bool health_checks_allowed) const;
   // Smoothed share of its attempts that fail.
-  double FailureShare(Micros now, const estimates::TimeScales& scales) const;
+  double FailureRate(Micros now, const estimates::TimeScales& scales) const;
 
   ServerId id = 0;
   int group = kNoGroup;
@@ -50,12 +50,12 @@
   Micros last_open = 0;  // when it was last known to be open
   Role role = Role::kUnknown;
   Micros role_time = kNever;
-  Micros last_answer = kNever;
+  Micros last_response = kNever;
   Micros slow_start_from = kNever;
   estimates::ReplicaPosition position;
-  estimates::Slowness slowness;
+  estimates::LatencyRatio latency_ratio;
   estimates::Throughput throughput;
-  estimates::FailureShare failures;
+  estimates::FailureRate failures;
   estimates::ReportedQueue queue;
   estimates::InFlightAttempts in_flight;
   limits::ConcurrencyLimit concurrency_limit;
@@ -70,7 +70,8 @@
   ServerId primary = 0;                // 0 where there is none
   limits::AdmissionControl admission;  // of reads at its replicas
   limits::PrimaryHeadroom headroom;
-  double warm_rate = 0;  // work per microsecond that a warm member was last seen to finish for this router
+  double warm_throughput =
+      0;  // work per microsecond that a warm member was last seen to finish for this router
 };
 
 }  // namespace tulipyoke::endpoints
--- a/src/estimates/decay.hpp
+++ b/src/estimates/decay.hpp
@@ -12,9 +12,9 @@
 inline constexpr double kSmoothing = 0.1;
 
 // The weight left after `elapsed`; it falls to 1/e with each `span`. A span of zero means no decay.
-inline double Decay(Micros elapsed, Micros span) {
-  if (span <= 0) return 1;
-  return std::exp(-static_cast<double>(elapsed) / static_cast<double>(span));
+inline double DecayFactor(Micros elapsed, Micros time_constant) {
+  if (time_constant <= 0) return 1;
+  return std::exp(-static_cast<double>(elapsed) / static_cast<double>(time_constant));
 }
 
 // The quotient; 0 where the divisor is not positive.
--- a/src/estimates/in_flight.hpp
+++ b/src/estimates/in_flight.hpp
@@ -27,7 +27,7 @@
  public:
   void Add(const InFlightAttempt& attempt) { attempts_.push_back(attempt); }
   // Removes the attempt and returns it; nothing where it is not in flight here.
-  std::optional<InFlightAttempt> Take(RequestId id, int attempt) {
+  std::optional<InFlightAttempt> Remove(RequestId id, int attempt) {
     const auto same = [&](const InFlightAttempt& a) { return a.id == id && a.attempt == attempt; };
     const auto found = std::find_if(attempts_.begin(), attempts_.end(), same);
     if (found == attempts_.end()) return std::nullopt;
@@ -39,7 +39,7 @@
     return std::any_of(begin(), end(), [](const InFlightAttempt& a) { return a.freshness_check; });
   }
   // Whether one that was sent at `since` or later is still wanted.
-  bool HasSentSince(Micros since) const {
+  bool HasActiveSentSince(Micros since) const {
     return std::any_of(begin(), end(),
                        [&](const InFlightAttempt& a) { return a.sent >= since && !a.cancelled; });
   }
--- a/src/estimates/latency_model.cpp
+++ b/src/estimates/latency_model.cpp
@@ -8,53 +8,53 @@
 namespace {
 
 // The part of its latency objective that a class is taken to need before its first answer.
-constexpr double kInitialShareOfObjective = 0.25;
+constexpr double kInitialObjectiveShare = 0.25;
 // The largest weight of a sample that comes after a silence: one of hundreds of routers sees little, and what
 // it saw a while ago says less than what it sees now.
-constexpr double kWeightAfterSilence = 0.5;
+constexpr double kMaxWeightAfterGap = 0.5;
 
 }  // namespace
 
-double Slowness::At(Micros now, Micros fade_span) const {
-  return 1 + (value_ - 1) * Decay(now - observed_, fade_span);
+double LatencyRatio::At(Micros now, Micros decay_time) const {
+  return 1 + (value_ - 1) * DecayFactor(now - observed_at_, decay_time);
 }
 
-void Slowness::Observe(Micros now, const TimeScales& scales, double ratio) {
-  const double before = At(now, scales.fade_span);
-  const double silence = 1 - Decay(now - observed_, scales.longest_objective);
-  const double weight = std::max(kSmoothing, kWeightAfterSilence * silence);
+void LatencyRatio::Observe(Micros now, const TimeScales& scales, double ratio) {
+  const double before = At(now, scales.decay_time);
+  const double observation_gap = 1 - DecayFactor(now - observed_at_, scales.longest_objective);
+  const double weight = std::max(kSmoothing, kMaxWeightAfterGap * observation_gap);
   value_ = before + weight * (ratio - before);
-  observed_ = now;
+  observed_at_ = now;
 }
 
 LatencyModel::LatencyModel(const Settings& settings, const TimeScales& scales) : scales_(scales) {
   for (const ClassSettings& c : settings.classes) {
-    usual_.push_back(kInitialShareOfObjective * static_cast<double>(c.latency_objective));
+    typical_latencies_.push_back(kInitialObjectiveShare * static_cast<double>(c.latency_objective));
   }
 }
 
-double LatencyModel::Expected(const Slowness& server, int class_index, Micros now) const {
-  return Usual(class_index) * server.At(now, scales_.fade_span);
+double LatencyModel::ExpectedLatency(const LatencyRatio& server, int class_index, Micros now) const {
+  return TypicalLatency(class_index) * server.At(now, scales_.decay_time);
 }
 
-double LatencyModel::RemainingWork(const InFlightAttempts& attempts, const Slowness& server,
+double LatencyModel::RemainingWork(const InFlightAttempts& attempts, const LatencyRatio& server,
                                    Micros now) const {
   if (attempts.empty()) return 0;
-  const double slowness = server.At(now, scales_.fade_span);
+  const double latency_ratio = server.At(now, scales_.decay_time);
   double sum = 0;
   for (const InFlightAttempt& attempt : attempts) {
-    const double expected = Usual(attempt.class_index) * slowness;
+    const double expected = TypicalLatency(attempt.class_index) * latency_ratio;
     sum += std::max(0.0, expected - static_cast<double>(now - attempt.sent));
   }
   return sum;
 }
 
-void LatencyModel::Learn(Slowness& server, int class_index, Micros elapsed, Micros now) {
-  double& usual = usual_[static_cast<std::size_t>(class_index)];
+void LatencyModel::AddSample(LatencyRatio& server, int class_index, Micros elapsed, Micros now) {
+  double& typical = typical_latencies_[static_cast<std::size_t>(class_index)];
   const double sample = static_cast<double>(std::max<Micros>(elapsed, 1));
-  const double slowness = server.At(now, scales_.fade_span);
-  server.Observe(now, scales_, sample / std::max(usual, 1.0));
-  usual += kSmoothing * kSmoothing * (sample / slowness - usual);
+  const double latency_ratio = server.At(now, scales_.decay_time);
+  server.Observe(now, scales_, sample / std::max(typical, 1.0));
+  typical += kSmoothing * kSmoothing * (sample / latency_ratio - typical);
 }
 
 }  // namespace tulipyoke::estimates
--- a/src/estimates/latency_model.hpp
+++ b/src/estimates/latency_model.hpp
@@ -1,6 +1,6 @@
-// Expected response times. A request's time is modelled as the usual time of its class multiplied by the
-// slowness of its server. The two are learned apart, so that a class which only busy servers can take does
-// not look slow by itself.
+// Expected response times. A request's time is modelled as the usual time of its class multiplied by
+// the latency_ratio of its server. The two are learned apart, so that a class which only busy servers can
+// take does not look slow by itself.
 #ifndef TULIPYOKE_SRC_ESTIMATES_LATENCY_MODEL_HPP_
 #define TULIPYOKE_SRC_ESTIMATES_LATENCY_MODEL_HPP_
 
@@ -13,9 +13,9 @@
 namespace tulipyoke::estimates {
 
 // The response time of one server relative to the usual one; it fades to 1 when nothing confirms it.
-class Slowness {
+class LatencyRatio {
  public:
-  double At(Micros now, Micros fade_span) const;
+  double At(Micros now, Micros decay_time) const;
   // Notes an answer that took `ratio` times the usual. After a silence it counts for more than one of many.
   void Observe(Micros now, const TimeScales& scales, double ratio);
   // The server has been restarted.
@@ -23,7 +23,7 @@
 
  private:
   double value_ = 1;
-  Micros observed_ = 0;
+  Micros observed_at_ = 0;
 };
 
 // The usual times of all classes, in microseconds.
@@ -31,17 +31,19 @@
  public:
   LatencyModel(const Settings& settings, const TimeScales& scales);
 
-  double Usual(int class_index) const { return usual_[static_cast<std::size_t>(class_index)]; }
+  double TypicalLatency(int class_index) const {
+    return typical_latencies_[static_cast<std::size_t>(class_index)];
+  }
   // The time that the server is expected to take for a request of the class.
-  double Expected(const Slowness& server, int class_index, Micros now) const;
+  double ExpectedLatency(const LatencyRatio& server, int class_index, Micros now) const;
   // The time that the attempts in flight at the server are expected to take from now on.
-  double RemainingWork(const InFlightAttempts& attempts, const Slowness& server, Micros now) const;
+  double RemainingWork(const InFlightAttempts& attempts, const LatencyRatio& server, Micros now) const;
   // Notes an answer, or the least time that an attempt must have taken.
-  void Learn(Slowness& server, int class_index, Micros elapsed, Micros now);
+  void AddSample(LatencyRatio& server, int class_index, Micros elapsed, Micros now);
 
  private:
   TimeScales scales_;
-  std::vector<double> usual_;
+  std::vector<double> typical_latencies_;
 };
 
 }  // namespace tulipyoke::estimates
--- a/src/estimates/load_report.cpp
+++ b/src/estimates/load_report.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr double kMissing = -1;
-constexpr double kMostRequests = 1e6;
-constexpr double kMostSeconds = 1e12;
+constexpr double kMaxRequests = 1e6;
+constexpr double kMaxPositionSeconds = 1e12;
 constexpr double kMicrosPerSecond = 1e6;
 constexpr double kPrimary = 1;
 constexpr double kReplica = 0;
@@ -32,12 +32,12 @@
   LoadReport result;
   const double queue = ValueAt(report, queue_);
   const double in_service = ValueAt(report, in_flight_) - queue;
-  if (queue >= 0 && queue < kMostRequests) {
+  if (queue >= 0 && queue < kMaxRequests) {
     result.queue_length = queue;
-    if (queue >= 1 && in_service < kMostRequests) result.in_service = in_service;
+    if (queue >= 1 && in_service < kMaxRequests) result.in_service = in_service;
   }
   const double seconds = ValueAt(report, position_);
-  if (!(seconds > 0 && seconds < kMostSeconds)) return result;
+  if (!(seconds > 0 && seconds < kMaxPositionSeconds)) return result;
   // A float may have been rounded up: take the one below.
   const double below = rounded_floats_ ? std::nextafter(static_cast<float>(seconds), 0.0F) : seconds;
   result.position = static_cast<Micros>(below * kMicrosPerSecond);
--- a/src/estimates/load_report.hpp
+++ b/src/estimates/load_report.hpp
@@ -21,7 +21,7 @@
  public:
   explicit LoadReportReader(const Settings& settings);
 
-  bool HasQueue() const { return queue_.has_value(); }
+  bool ReportsQueueLength() const { return queue_.has_value(); }
   LoadReport Read(const Report& report) const;
 
  private:
--- a/src/estimates/random.hpp
+++ b/src/estimates/random.hpp
@@ -18,7 +18,7 @@
     return z ^ (z >> 31);
   }
   // Uniform in [0, 1).
-  double Fraction() { return static_cast<double>(Next() >> 11) / kTwoTo53; }
+  double NextDouble() { return static_cast<double>(Next() >> 11) / kTwoTo53; }
   // True with a probability of one in `count`.
   bool OneIn(int count) { return Next() % static_cast<std::uint64_t>(count) == 0; }
 
--- a/src/estimates/replica_position.cpp
+++ b/src/estimates/replica_position.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 // The slowest rate that is believed: a replica that stands still may go on at any moment.
-constexpr double kLeastRate = 0.05;
+constexpr double kMinApplyRate = 0.05;
 // Two positions nearer than so many clock ticks give no rate: rounding would dominate.
-constexpr int kTicksPerRate = 10;
+constexpr int kMinTicksPerRateSample = 10;
 
 }  // namespace
 
@@ -23,27 +23,27 @@
   if (rate_position_ == kNoPosition) {
     rate_position_ = position;
     rate_observed_ = now;
-  } else if (span >= kTicksPerRate * resolution) {
+  } else if (span >= kMinTicksPerRateSample * resolution) {
     rate_ = RatioOrZero(static_cast<double>(position - rate_position_), static_cast<double>(span));
     rate_position_ = position;
     rate_observed_ = now;
   }
   position_ = position;
-  observed_ = now;
+  observed_at_ = now;
 }
 
-double ReplicaPosition::PredictedWait(Micros needed, Micros now, Micros fade_span) const {
+double ReplicaPosition::PredictedWait(Micros needed, Micros now, Micros decay_time) const {
   if (needed <= position_) return 0;
-  const double whole = static_cast<double>(needed - position_) / Rate(now, fade_span);
-  return std::max(0.0, whole - static_cast<double>(now - observed_));
+  const double whole = static_cast<double>(needed - position_) / Rate(now, decay_time);
+  return std::max(0.0, whole - static_cast<double>(now - observed_at_));
 }
 
 Micros ReplicaPosition::ObservedLag(Micros position_epoch) const {
-  return known() ? observed_ - position_epoch - position_ : 0;
+  return known() ? observed_at_ - position_epoch - position_ : 0;
 }
 
-double ReplicaPosition::Rate(Micros now, Micros fade_span) const {
-  return std::max(kLeastRate, 1 + (rate_ - 1) * Decay(now - rate_observed_, fade_span));
+double ReplicaPosition::Rate(Micros now, Micros decay_time) const {
+  return std::max(kMinApplyRate, 1 + (rate_ - 1) * DecayFactor(now - rate_observed_, decay_time));
 }
 
 }  // namespace tulipyoke::estimates
--- a/src/estimates/replica_position.hpp
+++ b/src/estimates/replica_position.hpp
@@ -22,22 +22,22 @@
   // one older than what was observed before. `resolution` is that of the clock.
   void Observe(Micros now, Micros position, PositionKind kind, Micros present, Micros resolution);
   // The server has been restarted: it applies at the usual rate again.
-  void ResetRate() { rate_ = 1; }
+  void ResetApplyRate() { rate_ = 1; }
 
   bool known() const { return position_ != kNoPosition; }
   Micros value() const { return position_; }
-  Micros observed() const { return observed_; }
+  Micros observed_at() const { return observed_at_; }
   // The time until the server is expected to have applied `needed`, in microseconds. A rate that was not
-  // confirmed for `fade_span` fades to 1: a replica that once stood still would never be asked again.
-  double PredictedWait(Micros needed, Micros now, Micros fade_span) const;
+  // confirmed for `decay_time` fades to 1: a replica that once stood still would never be asked again.
+  double PredictedWait(Micros needed, Micros now, Micros decay_time) const;
   // How far it was behind when it was observed; 0 where it is not known.
   Micros ObservedLag(Micros position_epoch) const;
 
  private:
-  double Rate(Micros now, Micros fade_span) const;
+  double Rate(Micros now, Micros decay_time) const;
 
   Micros position_ = kNoPosition;
-  Micros observed_ = 0;
+  Micros observed_at_ = 0;
   // Applied time per elapsed time, measured from this observation on.
   double rate_ = 1;
   Micros rate_position_ = kNoPosition;
--- a/src/estimates/throughput.cpp
+++ b/src/estimates/throughput.cpp
@@ -12,35 +12,35 @@
 
 }  // namespace
 
-void Throughput::Add(Micros now, double work, Micros span) {
-  rate_ *= Decay(now - updated_, span);
-  rate_ += work / static_cast<double>(span);
+void Throughput::Add(Micros now, double work, Micros window) {
+  rate_ *= DecayFactor(now - updated_, window);
+  rate_ += work / static_cast<double>(window);
   updated_ = now;
 }
 
-double Throughput::Rate(Micros now, Micros known_for, Micros span) const {
-  const double counted = 1 - Decay(known_for, span);
-  return RatioOrZero(rate_ * Decay(now - updated_, span), counted);
+double Throughput::Rate(Micros now, Micros observed_for, Micros window) const {
+  const double counted = 1 - DecayFactor(observed_for, window);
+  return RatioOrZero(rate_ * DecayFactor(now - updated_, window), counted);
 }
 
-double FailureShare::At(Micros now, Micros fade_span) const {
-  return share_ * Decay(now - observed_, fade_span);
+double FailureRate::At(Micros now, Micros decay_time) const {
+  return share_ * DecayFactor(now - observed_at_, decay_time);
 }
 
-void FailureShare::Observe(Micros now, bool failed, Micros fade_span) {
-  const double before = At(now, fade_span);
+void FailureRate::Observe(Micros now, bool failed, Micros decay_time) {
+  const double before = At(now, decay_time);
   share_ = before + kFailureWeight * ((failed ? 1 : 0) - before);
-  observed_ = now;
+  observed_at_ = now;
 }
 
 void ReportedQueue::Observe(Micros now, double length) {
   length_ = length;
-  observed_ = now;
+  observed_at_ = now;
 }
 
 double ReportedQueue::RemainingWork(Micros now, double concurrency, double expected) const {
   const double work = length_ / concurrency * expected;
-  return std::max(0.0, work - static_cast<double>(now - observed_));
+  return std::max(0.0, work - static_cast<double>(now - observed_at_));
 }
 
 void ServiceConcurrency::Observe(double in_service) {
--- a/src/estimates/throughput.hpp
+++ b/src/estimates/throughput.hpp
@@ -10,9 +10,9 @@
 class Throughput {
  public:
   // Notes finished work, in microseconds of usual time.
-  void Add(Micros now, double work, Micros span);
-  // `known_for`: how long work has been counted here; the sum of a short time stands for less than a span.
-  double Rate(Micros now, Micros known_for, Micros span) const;
+  void Add(Micros now, double work, Micros window);
+  // `observed_for`: how long work has been counted here; the sum of a short time stands for less than a span.
+  double Rate(Micros now, Micros observed_for, Micros window) const;
 
  private:
   double rate_ = 0;
@@ -20,16 +20,16 @@
 };
 
 // The smoothed share of attempts that fail. It fades, so that the server is tried again.
-class FailureShare {
+class FailureRate {
  public:
-  double At(Micros now, Micros fade_span) const;
-  void Observe(Micros now, bool failed, Micros fade_span);
+  double At(Micros now, Micros decay_time) const;
+  void Observe(Micros now, bool failed, Micros decay_time);
   // The server has been restarted.
   void Reset() { share_ = 0; }
 
  private:
   double share_ = 0;
-  Micros observed_ = 0;
+  Micros observed_at_ = 0;
 };
 
 // The requests of all routers that wait at a server, as it last reported them.
@@ -39,13 +39,13 @@
   // The server has been restarted.
   void Reset() { length_ = 0; }
   double length() const { return length_; }
-  Micros Age(Micros now) const { return now - observed_; }
+  Micros Age(Micros now) const { return now - observed_at_; }
   // What is left of it, in microseconds, when `concurrency` requests of `expected` time are served at once.
   double RemainingWork(Micros now, double concurrency, double expected) const;
 
  private:
   double length_ = 0;
-  Micros observed_ = 0;
+  Micros observed_at_ = 0;
 };
 
 // How many requests servers have in service at once while others wait, smoothed over all reports.
--- a/src/estimates/time_scales.cpp
+++ b/src/estimates/time_scales.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // A server that was slow is tried again after about so many of the longest deadlines.
-constexpr Micros kFadeDeadlines = 2;
+constexpr Micros kDecayDeadlines = 2;
 
 }  // namespace
 
@@ -21,10 +21,11 @@
     }
   }
   if (shortest_objective == kForever) shortest_objective = 0;
-  check_interval = std::max(normalized.clock_resolution, shortest_objective / kChecksPerObjective);
-  fade_span = kFadeDeadlines * std::max<Micros>(longest_deadline, 1);
-  forget_after = kFadeDeadlines * longest_deadline;
-  work_span = std::max({normalized.overload_window, normalized.slow_start_window, Micros{1}});
+  housekeeping_interval =
+      std::max(normalized.clock_resolution, shortest_objective / kHousekeepingRunsPerObjective);
+  decay_time = kDecayDeadlines * std::max<Micros>(longest_deadline, 1);
+  unlisted_retention = kDecayDeadlines * longest_deadline;
+  throughput_window = std::max({normalized.overload_window, normalized.slow_start_window, Micros{1}});
 }
 
 Settings Normalized(Settings settings) {
--- a/src/limits/admission_control.hpp
+++ b/src/limits/admission_control.hpp
@@ -17,19 +17,19 @@
 // one, and returns to 1 when nothing confirms it.
 class AdmissionControl {
  public:
-  double AdmittedShare(Micros now, Micros fade_span) const;
+  double AdmittedShare(Micros now, Micros decay_time) const;
   // Notes an answer. One after a silence counts for as many as come at every `interval`, up to a few.
-  void Observe(Micros now, Micros fade_span, Micros interval, bool in_time);
+  void Observe(Micros now, Micros decay_time, Micros interval, bool in_time);
   // Whether to reject a read of that priority; `draw` is uniform in [0, 1). Reads of a lower priority than
   // the newest ones make way for these.
-  bool Rejects(Micros now, Micros fade_span, double priority, double draw);
+  bool ShouldReject(Micros now, Micros decay_time, double priority, double draw);
 
  private:
-  static constexpr std::size_t kPrioritiesKept = 32;
+  static constexpr std::size_t kPriorityHistorySize = 32;
 
   double admitted_share_ = 1;
-  Micros observed_ = 0;
-  std::array<double, kPrioritiesKept> priorities_{};  // of the newest reads
+  Micros observed_at_ = 0;
+  std::array<double, kPriorityHistorySize> priorities_{};  // of the newest reads
   std::size_t read_count_ = 0;
 };
 
--- a/src/limits/ejection.cpp
+++ b/src/limits/ejection.cpp
@@ -7,30 +7,30 @@
 
 constexpr double kBackoffFactor = 2.0;
 // The backoff is multiplied by a draw from this on, up to one more.
-constexpr double kLeastJitter = 0.5;
+constexpr double kMinJitter = 0.5;
 
 }  // namespace
 
-bool Ejection::Eject(Micros now, OutlierSign sign, const estimates::TimeScales& scales,
+bool Ejection::Eject(Micros now, EjectionReason reason, const estimates::TimeScales& scales,
                      estimates::Random& random) {
-  unreachable_ = unreachable_ || sign == OutlierSign::kUnreachable;
+  unreachable_ = unreachable_ || reason == EjectionReason::kUnreachable;
   if (ejected_ && InBackoff(now)) return false;
   if (!ejected_) first_ejected_ = now;
   ejected_ = true;
-  since_ = now;
-  BackOff(now, scales, random);
+  last_ejected_ = now;
+  StartBackoff(now, scales, random);
   return true;
 }
 
-void Ejection::BackOff(Micros now, const estimates::TimeScales& scales, estimates::Random& random) {
+void Ejection::StartBackoff(Micros now, const estimates::TimeScales& scales, estimates::Random& random) {
   const auto longer = static_cast<Micros>(kBackoffFactor * static_cast<double>(backoff_));
-  const Micros longest = std::max(scales.check_interval, scales.longest_objective);
-  backoff_ = std::clamp(longer, scales.check_interval, longest);
-  const double jitter = kLeastJitter + random.Fraction();
+  const Micros longest = std::max(scales.housekeeping_interval, scales.longest_objective);
+  backoff_ = std::clamp(longer, scales.housekeeping_interval, longest);
+  const double jitter = kMinJitter + random.NextDouble();
   next_attempt_ = now + static_cast<Micros>(jitter * static_cast<double>(backoff_));
 }
 
-bool Ejection::Answered(Micros now, Micros restart_time) {
+bool Ejection::OnResponse(Micros now, Micros restart_time) {
   backoff_ = 0;
   return ejected_ && unreachable_ && now - first_ejected_ > restart_time;
 }
@@ -40,10 +40,10 @@
   unreachable_ = false;
 }
 
-void Ejection::Restarted(Micros when) {
+void Ejection::OnRestart(Micros when) {
   backoff_ = 0;
   next_attempt_ = 0;
-  if (when > since_) Reinstate();
+  if (when > last_ejected_) Reinstate();
 }
 
 }  // namespace tulipyoke::limits
--- a/src/limits/ejection.hpp
+++ b/src/limits/ejection.hpp
@@ -9,34 +9,35 @@
 
 namespace tulipyoke::limits {
 
-enum class OutlierSign { kUnreachable, kSlow };
+enum class EjectionReason { kUnreachable, kSlow };
 
 class Ejection {
  public:
   bool ejected() const { return ejected_; }
   // The newest failure for which it was ejected.
-  Micros since() const { return since_; }
+  Micros last_ejected() const { return last_ejected_; }
   Micros backoff() const { return backoff_; }
   bool InBackoff(Micros now) const { return now < next_attempt_; }
 
   // Ejects the server, or renews the ejection after a failed trial. False, and nothing changes, where it is
   // ejected and no trial was due.
-  bool Eject(Micros now, OutlierSign sign, const estimates::TimeScales& scales, estimates::Random& random);
+  bool Eject(Micros now, EjectionReason reason, const estimates::TimeScales& scales,
+             estimates::Random& random);
   // Starts a backoff, longer each time until the server answers. It is drawn, so that routers that were
   // rejected together do not come back together.
-  void BackOff(Micros now, const estimates::TimeScales& scales, estimates::Random& random);
+  void StartBackoff(Micros now, const estimates::TimeScales& scales, estimates::Random& random);
   // Notes an answer. True where the server was out of reach for longer than `restart_time`, in which it can
   // have been restarted before the endpoint list says so. Reinstate follows.
-  bool Answered(Micros now, Micros restart_time);
+  bool OnResponse(Micros now, Micros restart_time);
   void Reinstate();
   // The server was started at `when`: what was seen before does not count.
-  void Restarted(Micros when);
+  void OnRestart(Micros when);
 
  private:
   bool ejected_ = false;
   bool unreachable_ = false;  // while ejected, an attempt or a health check found no process
   Micros first_ejected_ = 0;
-  Micros since_ = 0;
+  Micros last_ejected_ = 0;
   Micros next_attempt_ = 0;
   Micros backoff_ = 0;
 };
--- a/src/limits/primary_headroom.hpp
+++ b/src/limits/primary_headroom.hpp
@@ -7,8 +7,8 @@
 namespace tulipyoke::limits {
 
 // An answer that is late for its class can be both, and one that says nothing of the load is neither.
-struct PrimaryAnswer {
-  bool quick = false;
+struct PrimaryResponse {
+  bool fast = false;
   bool slow = false;
 };
 
@@ -16,12 +16,12 @@
 class PrimaryHeadroom {
  public:
   // Where the primary has not answered of late, the initial share is divided among all routers.
-  double Share(Micros now, Micros fade_span, int router_count) const;
-  void Observe(Micros now, Micros fade_span, int router_count, const PrimaryAnswer& answer);
+  double Share(Micros now, Micros decay_time, int router_count) const;
+  void Observe(Micros now, Micros decay_time, int router_count, const PrimaryResponse& response);
 
  private:
   double share_ = 0;
-  Micros observed_ = 0;
+  Micros observed_at_ = 0;
 };
 
 }  // namespace tulipyoke::limits
--- a/src/limits/retry_detector.cpp
+++ b/src/limits/retry_detector.cpp
@@ -6,15 +6,15 @@
 namespace {
 
 // At most so many in a hundred requests of a class are taken to be retries.
-constexpr std::size_t kMostRetriesPercent = 75;
+constexpr std::size_t kMaxRetryPercent = 75;
 
 }  // namespace
 
 bool RetryDetector::IsLateRetry(Micros remaining, Micros latency_objective) {
   waits_[count_++ % waits_.size()] = remaining;
-  std::array<Micros, kRequestsKept> sorted = waits_;
+  std::array<Micros, kRequestHistorySize> sorted = waits_;
   const std::size_t known = std::min(count_, waits_.size());
-  const auto index = static_cast<std::ptrdiff_t>((known - 1) * kMostRetriesPercent / 100);
+  const auto index = static_cast<std::ptrdiff_t>((known - 1) * kMaxRetryPercent / 100);
   const auto first_attempt = sorted.begin() + index;
   std::nth_element(sorted.begin(), first_attempt, sorted.begin() + static_cast<std::ptrdiff_t>(known));
   return remaining + latency_objective / 2 < *first_attempt;
--- a/src/limits/retry_detector.hpp
+++ b/src/limits/retry_detector.hpp
@@ -17,9 +17,9 @@
   bool IsLateRetry(Micros remaining, Micros latency_objective);
 
  private:
-  static constexpr std::size_t kRequestsKept = 16;
+  static constexpr std::size_t kRequestHistorySize = 16;
 
-  std::array<Micros, kRequestsKept> waits_{};  // of the newest requests
+  std::array<Micros, kRequestHistorySize> waits_{};  // of the newest requests
   std::size_t count_ = 0;
 };
 
--- a/src/limits/slow_start_budget.cpp
+++ b/src/limits/slow_start_budget.cpp
@@ -8,7 +8,7 @@
 // The part of overload_multiple that a server is sent while it warms up and the warm ones are full. It is
 // measured by what warm servers finish, which are half to three quarters used on most days: two thirds of a
 // multiple of 3 fill the server to what it can do.
-constexpr double kShareOfOverload = 2.0 / 3;
+constexpr double kOverloadMultipleShare = 2.0 / 3;
 constexpr double kMicrosPerSecond = 1e6;
 
 }  // namespace
@@ -20,21 +20,22 @@
   return std::clamp(first + (1 - first) * age, 0.0, 1.0);
 }
 
-double EvenRate(const Settings& settings, std::size_t servers) {
+double QuotaRatePerServer(const Settings& settings, std::size_t servers) {
   double quotas = 0;
   for (const TenantSettings& tenant : settings.tenants) quotas += tenant.quota_per_s;
   return quotas / kMicrosPerSecond / static_cast<double>(std::max<std::size_t>(servers, 1));
 }
 
 // A router that knows nothing may send its even part of one request.
-bool SlowStartBudget::Fits(const Settings& settings, Micros now, double cost, const Server& server) {
+bool SlowStartBudget::IsWithinBudget(const Settings& settings, Micros now, double cost,
+                                     const Server& server) {
   while (!sent_.empty() && now - sent_.front().when > settings.overload_window) sent_.pop_front();
   double used = draw_ * cost;
   for (const SentRequest& sent : sent_) used += sent.cost;
   const double window = server.capacity_share * static_cast<double>(settings.overload_window);
-  const double even_part = std::max(1.0, server.even_rate * window) / std::max(settings.router_count, 1);
-  const double margin = std::max(1.0, kShareOfOverload * settings.overload_multiple);
-  return used < std::max(margin * server.warm_rate * window, even_part * cost);
+  const double min_work = std::max(1.0, server.quota_rate * window) / std::max(settings.router_count, 1);
+  const double margin = std::max(1.0, kOverloadMultipleShare * settings.overload_multiple);
+  return used < std::max(margin * server.warm_throughput * window, min_work * cost);
 }
 
 }  // namespace tulipyoke::limits
--- a/src/limits/slow_start_budget.hpp
+++ b/src/limits/slow_start_budget.hpp
@@ -27,15 +27,15 @@
 
 // Requests per microsecond that one of so many servers is meant to bear from all routers; 0 where no quota is
 // set.
-double EvenRate(const Settings& settings, std::size_t servers);
+double QuotaRatePerServer(const Settings& settings, std::size_t servers);
 
 // The budget for one server.
 class SlowStartBudget {
  public:
   struct Server {
-    double capacity_share = 1;  // what it has of its capacity
-    double warm_rate = 0;       // work per microsecond that a warm one finishes for this router
-    double even_rate = 0;       // requests per microsecond that a warm one is meant to bear from all routers
+    double capacity_share = 1;   // what it has of its capacity
+    double warm_throughput = 0;  // work per microsecond that a warm one finishes for this router
+    double quota_rate = 0;       // requests per microsecond that a warm one is meant to bear from all routers
   };
   // Whether one more request of that cost (microseconds of work) may be sent. `draw` gives a number in [0, 1)
   // and is called once in each window.
@@ -45,7 +45,7 @@
       draw_ = draw();
       next_draw_ = now + settings.overload_window;
     }
-    return Fits(settings, now, cost, server);
+    return IsWithinBudget(settings, now, cost, server);
   }
   void Spend(Micros now, double cost) { sent_.push_back({now, cost}); }
 
@@ -54,7 +54,7 @@
     Micros when = 0;
     double cost = 0;
   };
-  bool Fits(const Settings& settings, Micros now, double cost, const Server& server);
+  bool IsWithinBudget(const Settings& settings, Micros now, double cost, const Server& server);
 
   std::deque<SentRequest> sent_;  // within the last window
   Micros next_draw_ = 0;
--- a/src/limits/token_budget.hpp
+++ b/src/limits/token_budget.hpp
@@ -8,11 +8,11 @@
 
 class TokenBudget {
  public:
-  TokenBudget(double initial, double most) : tokens_(initial), most_(most) {}
+  TokenBudget(double initial, double capacity) : tokens_(initial), capacity_(capacity) {}
 
-  void Refill(double amount) { tokens_ = std::min(most_, tokens_ + amount); }
+  void Refill(double amount) { tokens_ = std::min(capacity_, tokens_ + amount); }
   // Spends `cost`; false, and nothing is spent, where that much is not left.
-  bool TryTake(double cost) {
+  bool TryConsume(double cost) {
     if (tokens_ < cost) return false;
     tokens_ -= cost;
     return true;
@@ -20,7 +20,7 @@
 
  private:
   double tokens_;
-  double most_;
+  double capacity_;
 };
 
 }  // namespace tulipyoke::limits
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -17,7 +17,8 @@
 bool Admission::Sheds(Request& read, Micros now) {
   if (!read.admission_decided) {
     limits::AdmissionControl& control = table_.GroupAt(read.group).admission;
-    read.shed = control.Rejects(now, context_.scales.fade_span, read.priority, context_.random.Fraction());
+    read.shed =
+        control.ShouldReject(now, context_.scales.decay_time, read.priority, context_.random.NextDouble());
   }
   read.admission_decided = true;
   return read.shed;
@@ -26,8 +27,8 @@
 bool Admission::GrantsHeadroom(const Request& read, Micros now) {
   const endpoints::Group& group = table_.GroupAt(read.group);
   if (read.queue_checks > 0 && read.queue_checked == group.primary) return true;
-  const double share = group.headroom.Share(now, context_.scales.fade_span, context_.settings.router_count);
-  return context_.random.Fraction() < share;
+  const double share = group.headroom.Share(now, context_.scales.decay_time, context_.settings.router_count);
+  return context_.random.NextDouble() < share;
 }
 
 bool Admission::ReplicaWithinBound(const Request& read, Micros now) const {
@@ -40,7 +41,7 @@
 }
 
 bool Admission::IsCalm(int group, Micros now) const {
-  return table_.GroupAt(group).admission.AdmittedShare(now, context_.scales.fade_span) >= 1;
+  return table_.GroupAt(group).admission.AdmittedShare(now, context_.scales.decay_time) >= 1;
 }
 
 }  // namespace tulipyoke::policy
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -21,7 +21,7 @@
 void OutlierDetection::ObserveAttempt(endpoints::Server& server, const estimates::InFlightAttempt& attempt,
                                       const AttemptEnded& outcome, endpoints::EventScope& scope) {
   const Status status = outcome.status;
-  if (IsAnswer(status)) server.Answered(scope.now, context_.settings.overload_window);
+  if (IsAnswer(status)) server.OnResponse(scope.now, context_.settings.overload_window);
   // A refused connection may only mean that the server has all it takes: a check tells whether it is down.
   if (status == Status::kConnectFailed) checks_.Request(server, 0, scope);
   if (IsFault(status) || IsAnswer(status)) {
@@ -29,15 +29,16 @@
   }
   if (status == Status::kReset) {
     // A process that died fails all that was in flight there, and the health check as well.
-    const double failing = server.FailureShare(scope.now, context_.scales);
-    if (failing >= kEjectedFailureShare) Eject(server, limits::OutlierSign::kUnreachable, scope);
+    const double failing = server.FailureRate(scope.now, context_.scales);
+    if (failing >= kEjectedFailureShare) Eject(server, limits::EjectionReason::kUnreachable, scope);
     checks_.Request(server, 0, scope);
   }
   const ClassSettings& c = context_.ClassOf(attempt.class_index);
-  const bool late_timeout = status == Status::kTimeout && endpoints::TimingOf(outcome, c).overloaded;
-  if (late_timeout && server.last_answer < attempt.sent) Eject(server, limits::OutlierSign::kSlow, scope);
+  const bool late_timeout = status == Status::kTimeout && endpoints::ClassifyTiming(outcome, c).overloaded;
+  if (late_timeout && server.last_response < attempt.sent)
+    Eject(server, limits::EjectionReason::kSlow, scope);
   if (status == Status::kOverloaded || status == Status::kConnectFailed) {
-    server.ejection.BackOff(scope.now, context_.scales, context_.random);
+    server.ejection.StartBackoff(scope.now, context_.scales, context_.random);
   }
 }
 
@@ -47,11 +48,11 @@
   if (status == Status::kOk) {
     server.health_check.succeeded = scope.now;
   } else if (status != Status::kOverloaded) {
-    Eject(server, limits::OutlierSign::kUnreachable, scope);
+    Eject(server, limits::EjectionReason::kUnreachable, scope);
   }
 }
 
-void OutlierDetection::Eject(endpoints::Server& server, limits::OutlierSign sign,
+void OutlierDetection::Eject(endpoints::Server& server, limits::EjectionReason sign,
                              endpoints::EventScope& scope) {
   const bool ejected = server.ejection.Eject(scope.now, sign, context_.scales, context_.random);
   if (ejected) checks_.Request(server, 0, scope);
--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -18,7 +18,7 @@
   void ObserveHealthCheck(endpoints::Server& server, Status status, endpoints::EventScope& scope);
 
  private:
-  void Eject(endpoints::Server& server, limits::OutlierSign sign, endpoints::EventScope& scope);
+  void Eject(endpoints::Server& server, limits::EjectionReason sign, endpoints::EventScope& scope);
 
   endpoints::RoutingContext& context_;
   endpoints::HealthChecks& checks_;
--- a/src/policy/replica_selector.cpp
+++ b/src/policy/replica_selector.cpp
@@ -62,7 +62,7 @@
 }
 
 double ReplicaSelector::QueuedWork(const Server& server, int class_index, Micros now) const {
-  const double expected = context_.latency.Expected(server.slowness, class_index, now);
+  const double expected = context_.latency.ExpectedLatency(server.latency_ratio, class_index, now);
   return server.queue.RemainingWork(now, context_.service_concurrency.value(), expected);
 }
 
@@ -70,21 +70,22 @@
 // position.
 double ReplicaSelector::ExpectedOwnTime(const Server& server, const Request& read, Micros needed,
                                         Micros now) const {
-  const double failing = std::min(server.FailureShare(now, context_.scales), kMostFailing);
+  const double failing = std::min(server.FailureRate(now, context_.scales), kMostFailing);
   const double attempts = 1 / (1 - failing);
-  const double own = attempts * context_.latency.Expected(server.slowness, read.class_index, now);
-  return context_.latency.RemainingWork(server.in_flight, server.slowness, now) + own +
+  const double own = attempts * context_.latency.ExpectedLatency(server.latency_ratio, read.class_index, now);
+  return context_.latency.RemainingWork(server.in_flight, server.latency_ratio, now) + own +
          PredictedWait(server, needed, now);
 }
 
 // A router of hundreds so keeps to few servers, and knows these better.
 double ReplicaSelector::DistanceCost(const Server& server, int class_index, Micros now) const {
   const Settings& settings = context_.settings;
-  const bool answered = server.last_answer != endpoints::kNever;
-  const bool connected =
-      answered && estimates::Decay(now - server.last_answer, context_.scales.fade_span) > kConnectedWeight;
+  const bool answered = server.last_response != endpoints::kNever;
+  const bool connected = answered && estimates::DecayFactor(now - server.last_response,
+                                                            context_.scales.decay_time) > kConnectedWeight;
   const bool far = settings.cross_zone_cost > 0 && server.zone != settings.zone;
-  return kDistanceShare * context_.latency.Usual(class_index) * ((connected ? 0 : 1) + (far ? 1 : 0));
+  return kDistanceShare * context_.latency.TypicalLatency(class_index) *
+         ((connected ? 0 : 1) + (far ? 1 : 0));
 }
 
 bool ReplicaSelector::IsStaleButQuick(const Server& server, const Request& read, double expected_time) const {
--- a/src/policy/request_router.cpp
+++ b/src/policy/request_router.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "src/endpoints/warm_rates.hpp"
+#include "src/endpoints/warm_throughput.hpp"
 
 namespace tulipyoke::policy {
 namespace {
@@ -92,7 +92,7 @@
   bool searching = false;
   for (const ServerId id : table_.GroupAt(group).members) {
     Server& server = table_.At(id);
-    checks_.Request(server, 2 * context_.scales.check_interval, scope);
+    checks_.Request(server, 2 * context_.scales.housekeeping_interval, scope);
     searching = searching || server.health_check.in_progress;
   }
   return searching;
@@ -119,7 +119,7 @@
   read.failed_at.clear();
   for (const ServerId id : table_.GroupAt(read.group).members) {
     Server& server = table_.At(id);
-    if (!server.position.known()) checks_.Request(server, context_.scales.check_interval, scope);
+    if (!server.position.known()) checks_.Request(server, context_.scales.housekeeping_interval, scope);
   }
   read.awaited_replica.reset();
   parked_.Park(read);
@@ -136,15 +136,15 @@
   if (selector_.PredictedWait(replica, needed, scope.now) > time_left) {
     const bool guarded = context_.settings.staleness_guard != StalenessGuard::kOff;
     const bool session = context_.ClassOf(read.class_index).freshness == Freshness::kSession;
-    const bool shown_too_stale = session && replica.position.observed() > read.arrived;
+    const bool shown_too_stale = session && replica.position.observed_at() > read.arrived;
     if (read.misses > 0 || (!guarded && shown_too_stale)) return RouteToHeadroom(read, scope);
-    if (guarded && checks_.TakeForRead()) return Send(read, replica, scope);
+    if (guarded && checks_.TryConsumeForRead()) return Send(read, replica, scope);
   }
   WaitForReplica(read, replica, needed, scope);
 }
 
 void RequestRouter::WaitForReplica(Request& read, Server& replica, Micros needed, EventScope& scope) {
-  const Micros check_interval = context_.scales.check_interval;
+  const Micros check_interval = context_.scales.housekeeping_interval;
   if (read.awaited_replica != replica.id || scope.now >= read.reselect_at) {
     const auto wait = static_cast<Micros>(selector_.PredictedWait(replica, needed, scope.now));
     read.reselect_at = scope.now + std::max(check_interval, wait);
@@ -170,14 +170,16 @@
 bool RequestRouter::AwaitsQueueReport(Request& read, Server& server, EventScope& scope) {
   const Server* asked = scope.now < read.queue_check_until ? table_.Find(read.queue_checked) : nullptr;
   if (!asked || !asked->health_check.in_progress) {
-    const bool reports_queue = context_.report_reader.HasQueue() && context_.settings.health_checks_allowed;
+    const bool reports_queue =
+        context_.report_reader.ReportsQueueLength() && context_.settings.health_checks_allowed;
     if (!reports_queue || read.queue_checks >= kMostChecks) return false;
     if (admission_.IsCalm(read.group, scope.now) && server.queue.length() < 1) return false;
-    const double expected = context_.latency.Expected(server.slowness, read.class_index, scope.now);
+    const double expected =
+        context_.latency.ExpectedLatency(server.latency_ratio, read.class_index, scope.now);
     if (static_cast<double>(server.queue.Age(scope.now)) <= expected) return false;
     ++read.queue_checks;
     read.queue_checked = server.id;
-    read.queue_check_until = scope.now + context_.scales.check_interval;
+    read.queue_check_until = scope.now + context_.scales.housekeeping_interval;
     checks_.Request(server, 0, scope);
   }
   parked_.Park(read);
@@ -188,7 +190,7 @@
   const Micros now = scope.now;
   const ClassSettings& c = context_.ClassOf(request.class_index);
   slow_start_.NoteSend(server, request.class_index, now);
-  if (server.ejection.ejected()) server.ejection.BackOff(now, context_.scales, context_.random);
+  if (server.ejection.ejected()) server.ejection.StartBackoff(now, context_.scales, context_.random);
   const bool freshness_check = selector_.NeededPosition(request, now) > server.position.value();
   server.in_flight.Add({request.id, request.attempts, request.class_index, request.key, now,
                         /*cancelled=*/false, freshness_check});
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -44,12 +44,12 @@
 
 Micros RetryPolicy::LastUseful(const Request& request) const {
   const ClassSettings& c = context_.ClassOf(request.class_index);
-  const auto usual = static_cast<Micros>(context_.latency.Usual(request.class_index));
+  const auto usual = static_cast<Micros>(context_.latency.TypicalLatency(request.class_index));
   const Micros objective_end = std::min(request.deadline, request.arrived + c.latency_objective);
   const Micros end = c.late_weight > 0 ? request.deadline : objective_end;
   const Micros last = end - std::min(usual, (end - request.arrived) / 2);
   if (request.attempts > 0) return last;
-  return std::min(last, (request.arrived + request.deadline) / 2 - context_.scales.check_interval);
+  return std::min(last, (request.arrived + request.deadline) / 2 - context_.scales.housekeeping_interval);
 }
 
 void RetryPolicy::NoteFailure(Request& request, Status status, Micros sent) const {
@@ -66,7 +66,7 @@
 bool RetryPolicy::TakeRetry(Status status) {
   if (status == Status::kNotSent || status == Status::kStaleOrWrongRole) return true;
   const bool fault = status == Status::kError || status == Status::kReset;
-  return budget_.TryTake(fault ? kFaultCost : 1);
+  return budget_.TryConsume(fault ? kFaultCost : 1);
 }
 
 bool RetryPolicy::MayReject(const Request& request) const {
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -9,7 +9,7 @@
 #include "src/endpoints/list_refresh.hpp"
 #include "src/endpoints/outcome_observer.hpp"
 #include "src/endpoints/routing_context.hpp"
-#include "src/endpoints/warm_rates.hpp"
+#include "src/endpoints/warm_throughput.hpp"
 #include "src/policy/outlier_detection.hpp"
 #include "src/policy/request_router.hpp"
 #include "src/policy/slow_start.hpp"
@@ -47,14 +47,14 @@
     std::visit([&](const auto& e) { On(e, scope); }, event);
     if (housekeeping_scheduled) return;
     housekeeping_scheduled = true;
-    actions.emplace_back(SetTimer{context.scales.check_interval, kHousekeepingTimer});
+    actions.emplace_back(SetTimer{context.scales.housekeeping_interval, kHousekeepingTimer});
   }
 
   void On(const RequestArrived& event, EventScope& scope) { requests.Arrive(event, scope); }
   void On(const AttemptEnded& event, EventScope& scope) {
     Server* server = table.Find(event.server);
     Micros sent = scope.now - event.elapsed;
-    if (const auto attempt = server ? server->in_flight.Take(event.id, event.attempt) : std::nullopt) {
+    if (const auto attempt = server ? server->in_flight.Remove(event.id, event.attempt) : std::nullopt) {
       sent = attempt->sent;
       outliers.ObserveAttempt(*server, *attempt, event, scope);
       observer.ObserveAttempt(*server, *attempt, event, scope.now);
@@ -70,12 +70,12 @@
     outliers.ObserveHealthCheck(*server, event.status, scope);
     if (event.status == Status::kOk) {
       const bool newer_position = observer.ObserveReport(*server, event.report, scope.now);
-      checks.SetInterval(server->health_check, newer_position);
+      checks.UpdateInterval(server->health_check, newer_position);
     }
     requests.RouteParked(server->group, scope);
   }
   void On(const EndpointListUpdate& event, EventScope& scope) {
-    if (event.kind == EndpointListKind::kFailed) list_refresh.Failed(scope.now);
+    if (event.kind == EndpointListKind::kFailed) list_refresh.OnFetchFailed(scope.now);
     table.Apply(event, checks, scope);
     requests.RouteAllParked(scope);
   }
@@ -103,14 +103,14 @@
   void Housekeep(EventScope& scope) {
     housekeeping_scheduled = false;
     list_refresh.RunIfDue(scope);
-    table.NoteOpenServers(scope.now);
+    table.UpdateLastOpenTimes(scope.now);
     for (auto& [id, server] : table.servers()) {
       const limits::Ejection& ejection = server.ejection;
       const bool trial_due = ejection.ejected() && !ejection.InBackoff(scope.now);
       if (trial_due) checks.Request(server, ejection.backoff(), scope);
     }
-    table.DropGoneServers(scope.now);
-    endpoints::UpdateWarmRates(context, table, scope.now);
+    table.RemoveGoneServers(scope.now);
+    endpoints::UpdateWarmThroughputs(context, table, scope.now);
     requests.RouteAllParked(scope);
     const Micros lifetime = std::max(context.settings.slow_start_window, context.scales.longest_deadline);
     tokens.Compact(context.PositionAt(scope.now) - kTokenLifetimes * lifetime);
--- a/tests/endpoints/endpoint_table_test.cpp
+++ b/tests/endpoints/endpoint_table_test.cpp
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-#include "src/endpoints/warm_rates.hpp"
+#include "src/endpoints/warm_throughput.hpp"
 #include "tests/endpoints/endpoint_fixture.hpp"
 
 namespace tulipyoke::endpoints {
@@ -29,7 +29,7 @@
   EXPECT_TRUE(table_.At(1).open);
   EXPECT_FALSE(table_.At(2).open);
   EXPECT_FALSE(table_.At(3).open);
-  EXPECT_EQ(table_.most_open(), 3u);
+  EXPECT_EQ(table_.peak_open_count(), 3u);
   Apply(EndpointListKind::kDelta, {WithState(9, ServerState::kGone)});
   EXPECT_EQ(table_.Find(9), nullptr);
 }
@@ -49,12 +49,12 @@
 
 TEST_F(EndpointTableTest, AGoneServerIsDroppedOnceNothingIsInFlightThere) {
   Apply(EndpointListKind::kCached, {Ready(1), Ready(2)});
-  table_.NoteOpenServers(now_);
+  table_.UpdateLastOpenTimes(now_);
   Apply(EndpointListKind::kDelta, {WithState(1, ServerState::kGone), WithState(2, ServerState::kGone)});
   table_.At(2).in_flight.Add({.id = 7});
-  table_.DropGoneServers(now_ + 2 * kSecond);
+  table_.RemoveGoneServers(now_ + 2 * kSecond);
   EXPECT_NE(table_.Find(1), nullptr);
-  table_.DropGoneServers(now_ + 2 * kSecond + 1);
+  table_.RemoveGoneServers(now_ + 2 * kSecond + 1);
   EXPECT_EQ(table_.Find(1), nullptr);
   EXPECT_NE(table_.Find(2), nullptr);
   EXPECT_EQ(table_.GroupAt(0).members, std::vector<ServerId>{2});
--- a/tests/endpoints/health_checks_test.cpp
+++ b/tests/endpoints/health_checks_test.cpp
@@ -44,11 +44,11 @@
 
 TEST_F(HealthChecksTest, ChecksThatShowNothingNewComeLessOften) {
   HealthCheckState check;
-  checks_.SetInterval(check, true);
+  checks_.UpdateInterval(check, true);
   EXPECT_EQ(check.interval, 50 * kMs);
-  checks_.SetInterval(check, false);
+  checks_.UpdateInterval(check, false);
   EXPECT_EQ(check.interval, 100 * kMs);
-  for (int i = 0; i < 5; ++i) checks_.SetInterval(check, false);
+  for (int i = 0; i < 5; ++i) checks_.UpdateInterval(check, false);
   EXPECT_EQ(check.interval, 400 * kMs);
 }
 
--- a/tests/endpoints/list_refresh_test.cpp
+++ b/tests/endpoints/list_refresh_test.cpp
@@ -22,7 +22,7 @@
     refresh.RunIfDue(scope);
   }
   EXPECT_EQ(Only<WatchEndpointList>(actions).size(), 4u);
-  refresh.Failed(106 * kSecond);
+  refresh.OnFetchFailed(106 * kSecond);
   EventScope soon{106 * kSecond + 400 * kMs, actions};
   refresh.RunIfDue(soon);
   EXPECT_EQ(Only<WatchEndpointList>(actions).size(), 5u);
--- a/tests/endpoints/outcome_observer_test.cpp
+++ b/tests/endpoints/outcome_observer_test.cpp
@@ -22,7 +22,7 @@
   Server& server = table_.At(2);
   observer.ObserveAttempt(server, {.id = 1, .class_index = kAnyRead, .sent = now_ - 390 * kMs}, outcome,
                           now_);
-  EXPECT_GT(server.slowness.At(now_, kSecond), 1.5);
+  EXPECT_GT(server.latency_ratio.At(now_, kSecond), 1.5);
   EXPECT_EQ(server.position.value(), now_ - 5 * kMs);
   EXPECT_EQ(server.role, Role::kReplica);
   EXPECT_LT(table_.GroupAt(0).admission.AdmittedShare(now_, kSecond), 1);  // it was late
--- a/tests/endpoints/server_test.cpp
+++ b/tests/endpoints/server_test.cpp
@@ -13,12 +13,12 @@
 TEST_F(ServerTest, ANewBootTimeForgetsWhatWasLearned) {
   Apply(EndpointListKind::kCached, {Ready(1), Ready(2)});
   Server& server = table_.At(2);
-  server.slowness.Observe(now_, context_.scales, 5);
+  server.latency_ratio.Observe(now_, context_.scales, 5);
   server.failures.Observe(now_, true, kSecond);
   EndpointEntry restarted = Ready(2);
   restarted.boot_time = now_ + 1;
   Apply(EndpointListKind::kDelta, {restarted});
-  EXPECT_DOUBLE_EQ(server.slowness.At(now_, kSecond), 1);
+  EXPECT_DOUBLE_EQ(server.latency_ratio.At(now_, kSecond), 1);
   EXPECT_DOUBLE_EQ(server.failures.At(now_, kSecond), 0);
   EXPECT_EQ(server.slow_start_from, now_ + 1);
 }
@@ -27,7 +27,7 @@
   Apply(EndpointListKind::kCached, {Ready(1)});
   Server& server = table_.At(1);
   EXPECT_TRUE(server.AdmitsTrial(true));
-  server.ejection.Eject(now_, limits::OutlierSign::kSlow, context_.scales, context_.random);
+  server.ejection.Eject(now_, limits::EjectionReason::kSlow, context_.scales, context_.random);
   EXPECT_FALSE(server.AdmitsTrial(true));
   EXPECT_TRUE(server.AdmitsTrial(false));  // where there are no health checks
   server.health_check.succeeded = now_;
--- a/tests/endpoints/warm_rates_test.cpp
+++ b/tests/endpoints/warm_throughput_test.cpp
@@ -1,5 +1,5 @@
 // What warm members of a group finish.
-#include "src/endpoints/warm_rates.hpp"
+#include "src/endpoints/warm_throughput.hpp"
 
 #include <gtest/gtest.h>
 
@@ -13,11 +13,12 @@
 TEST_F(WarmRatesTest, TheWarmRateIsThatOfWarmReplicas) {
   Apply(EndpointListKind::kCached, {Ready(1, true), Ready(2), Ready(3)});
   for (const ServerId id : {1u, 2u, 3u}) {
-    table_.At(id).throughput.Add(now_, id * 100 * kMs, context_.scales.work_span);
+    table_.At(id).throughput.Add(now_, id * 100 * kMs, context_.scales.throughput_window);
   }
-  UpdateWarmRates(context_, table_, now_);
-  const double expected = table_.At(2).throughput.Rate(now_, kSecond, context_.scales.work_span) * 1.25;
-  EXPECT_NEAR(table_.GroupAt(0).warm_rate, expected, expected / 100);
+  UpdateWarmThroughputs(context_, table_, now_);
+  const double expected =
+      table_.At(2).throughput.Rate(now_, kSecond, context_.scales.throughput_window) * 1.25;
+  EXPECT_NEAR(table_.GroupAt(0).warm_throughput, expected, expected / 100);
 }
 
 }  // namespace
--- a/tests/estimates/decay_test.cpp
+++ b/tests/estimates/decay_test.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 TEST(Decay, FallsToAnEthInEachSpan) {
-  EXPECT_DOUBLE_EQ(Decay(0, kSecond), 1);
-  EXPECT_NEAR(Decay(kSecond, kSecond), 0.3679, 0.0001);
-  EXPECT_DOUBLE_EQ(Decay(kSecond, 0), 1);
+  EXPECT_DOUBLE_EQ(DecayFactor(0, kSecond), 1);
+  EXPECT_NEAR(DecayFactor(kSecond, kSecond), 0.3679, 0.0001);
+  EXPECT_DOUBLE_EQ(DecayFactor(kSecond, 0), 1);
   EXPECT_DOUBLE_EQ(RatioOrZero(3, 0), 0);
   EXPECT_DOUBLE_EQ(RatioOrZero(3, 2), 1.5);
 }
--- a/tests/estimates/in_flight_test.cpp
+++ b/tests/estimates/in_flight_test.cpp
@@ -13,12 +13,12 @@
   attempts.Add({.id = 1, .attempt = 0, .sent = 5});
   attempts.Add({.id = 1, .attempt = 1, .sent = 9, .freshness_check = true});
   EXPECT_TRUE(attempts.HasFreshnessCheck());
-  EXPECT_TRUE(attempts.HasSentSince(9));
-  EXPECT_FALSE(attempts.HasSentSince(10));
-  const auto taken = attempts.Take(1, 1);
+  EXPECT_TRUE(attempts.HasActiveSentSince(9));
+  EXPECT_FALSE(attempts.HasActiveSentSince(10));
+  const auto taken = attempts.Remove(1, 1);
   ASSERT_TRUE(taken);
   EXPECT_EQ(taken->sent, 9);
-  EXPECT_FALSE(attempts.Take(1, 1));
+  EXPECT_FALSE(attempts.Remove(1, 1));
   EXPECT_FALSE(attempts.HasFreshnessCheck());
   EXPECT_EQ(attempts.size(), 1u);
 }
@@ -26,7 +26,7 @@
 TEST(InFlightAttempts, ACancelledOneIsNoTrial) {
   InFlightAttempts attempts;
   attempts.Add({.id = 1, .sent = 5, .cancelled = true});
-  EXPECT_FALSE(attempts.HasSentSince(5));
+  EXPECT_FALSE(attempts.HasActiveSentSince(5));
 }
 
 }  // namespace
--- a/tests/estimates/load_report_test.cpp
+++ b/tests/estimates/load_report_test.cpp
@@ -27,8 +27,8 @@
 
 TEST(LoadReport, WhatIsMissingSaysNothing) {
   const LoadReportReader reader = ReaderOf({"x0", "x1", "queue", "inflight"});
-  EXPECT_TRUE(reader.HasQueue());
-  EXPECT_FALSE(ReaderOf({"x0", "x1"}).HasQueue());
+  EXPECT_TRUE(reader.ReportsQueueLength());
+  EXPECT_FALSE(ReaderOf({"x0", "x1"}).ReportsQueueLength());
   const LoadReport report = reader.Read({});
   EXPECT_FALSE(report.queue_length);
   EXPECT_FALSE(report.in_service);
--- a/tests/estimates/random_test.cpp
+++ b/tests/estimates/random_test.cpp
@@ -12,8 +12,8 @@
   Random first(7);
   Random second(7);
   for (int i = 0; i < 100; ++i) {
-    const double draw = first.Fraction();
-    EXPECT_EQ(draw, second.Fraction());
+    const double draw = first.NextDouble();
+    EXPECT_EQ(draw, second.NextDouble());
     EXPECT_GE(draw, 0);
     EXPECT_LT(draw, 1);
   }
--- a/tests/estimates/replica_position_test.cpp
+++ b/tests/estimates/replica_position_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Micros kNow = 100 * kSecond;
-constexpr Micros kFadeSpan = 400 * kMs;
+constexpr Micros kDecayTime = 400 * kMs;
 
 ReplicaPosition Observed(Micros now, Micros position) {
   ReplicaPosition result;
@@ -32,17 +32,17 @@
 TEST(ReplicaPosition, OnlyAnExactPositionDatesAnEqualOneAnew) {
   ReplicaPosition position = Observed(kNow, kNow - 10);
   position.Observe(kNow + 5, kNow - 10, PositionKind::kRounded, kNow + 5, kMs);
-  EXPECT_EQ(position.observed(), kNow);
+  EXPECT_EQ(position.observed_at(), kNow);
   position.Observe(kNow + 5, kNow - 10, PositionKind::kExact, kNow + 5, kMs);
-  EXPECT_EQ(position.observed(), kNow + 5);
+  EXPECT_EQ(position.observed_at(), kNow + 5);
 }
 
 TEST(ReplicaPosition, TheWaitFallsAsTimePasses) {
   const ReplicaPosition position = Observed(kNow, kNow - 100 * kMs);
-  EXPECT_DOUBLE_EQ(position.PredictedWait(kNow - 100 * kMs, kNow, kFadeSpan), 0);
-  EXPECT_DOUBLE_EQ(position.PredictedWait(kNow, kNow, kFadeSpan), 100 * kMs);
-  EXPECT_DOUBLE_EQ(position.PredictedWait(kNow, kNow + 60 * kMs, kFadeSpan), 40 * kMs);
-  EXPECT_DOUBLE_EQ(position.PredictedWait(kNow, kNow + kSecond, kFadeSpan), 0);
+  EXPECT_DOUBLE_EQ(position.PredictedWait(kNow - 100 * kMs, kNow, kDecayTime), 0);
+  EXPECT_DOUBLE_EQ(position.PredictedWait(kNow, kNow, kDecayTime), 100 * kMs);
+  EXPECT_DOUBLE_EQ(position.PredictedWait(kNow, kNow + 60 * kMs, kDecayTime), 40 * kMs);
+  EXPECT_DOUBLE_EQ(position.PredictedWait(kNow, kNow + kSecond, kDecayTime), 0);
 }
 
 // Guards against a replica that once stood still and is passed over for ever.
@@ -51,10 +51,10 @@
   const Micros later = kNow + 100 * kMs;
   position.Observe(later, kNow - 950 * kMs, PositionKind::kExact, later, kMs);  // at half the rate
   const Micros needed = kNow - 850 * kMs;
-  EXPECT_DOUBLE_EQ(position.PredictedWait(needed, later, kFadeSpan), 200 * kMs);
-  EXPECT_LT(position.PredictedWait(needed, later + 60 * kMs, kFadeSpan), 130 * kMs);
-  position.ResetRate();
-  EXPECT_DOUBLE_EQ(position.PredictedWait(needed, later, kFadeSpan), 100 * kMs);
+  EXPECT_DOUBLE_EQ(position.PredictedWait(needed, later, kDecayTime), 200 * kMs);
+  EXPECT_LT(position.PredictedWait(needed, later + 60 * kMs, kDecayTime), 130 * kMs);
+  position.ResetApplyRate();
+  EXPECT_DOUBLE_EQ(position.PredictedWait(needed, later, kDecayTime), 100 * kMs);
 }
 
 TEST(ReplicaPosition, TheLagIsThatOfTheObservation) {
--- a/tests/estimates/throughput_test.cpp
+++ b/tests/estimates/throughput_test.cpp
@@ -18,8 +18,8 @@
   EXPECT_NEAR(throughput.Rate(now, now - start, 10 * kSecond), 0.5, 0.01);
 }
 
-TEST(FailureShare, GrowsWithFailuresAndFades) {
-  FailureShare share;
+TEST(FailureRate, GrowsWithFailuresAndFades) {
+  FailureRate share;
   const Micros now = 100 * kSecond;
   share.Observe(now, true, kSecond);
   EXPECT_DOUBLE_EQ(share.At(now, kSecond), 0.2);
--- a/tests/estimates/time_scales_test.cpp
+++ b/tests/estimates/time_scales_test.cpp
@@ -10,21 +10,21 @@
 
 TEST(TimeScales, FollowFromTheClasses) {
   const TimeScales scales(Normalized(TestSettings()));
-  EXPECT_EQ(scales.check_interval, 50 * kMs);
+  EXPECT_EQ(scales.housekeeping_interval, 50 * kMs);
   EXPECT_EQ(scales.longest_objective, 400 * kMs);
   EXPECT_EQ(scales.longest_deadline, kSecond);
   EXPECT_EQ(scales.tightest_staleness_bound, 500 * kMs);
-  EXPECT_EQ(scales.fade_span, 2 * kSecond);
-  EXPECT_EQ(scales.forget_after, 2 * kSecond);
-  EXPECT_EQ(scales.work_span, 10 * kSecond);
+  EXPECT_EQ(scales.decay_time, 2 * kSecond);
+  EXPECT_EQ(scales.unlisted_retention, 2 * kSecond);
+  EXPECT_EQ(scales.throughput_window, 10 * kSecond);
 }
 
 // Guards against a division by zero or a timer without a delay where nothing is set.
 TEST(TimeScales, ArePositiveWithoutSettings) {
   const TimeScales scales(Normalized(Settings{}));
-  EXPECT_EQ(scales.check_interval, 1);
-  EXPECT_EQ(scales.fade_span, 2);
-  EXPECT_EQ(scales.work_span, 1);
+  EXPECT_EQ(scales.housekeeping_interval, 1);
+  EXPECT_EQ(scales.decay_time, 2);
+  EXPECT_EQ(scales.throughput_window, 1);
   EXPECT_EQ(scales.tightest_staleness_bound, kForever);
 }
 
--- a/tests/limits/admission_control_test.cpp
+++ b/tests/limits/admission_control_test.cpp
@@ -17,7 +17,7 @@
   Admitted admitted;
   for (int i = 0; i < 1000; ++i) {
     const bool late = i % 2 == 1;
-    if (control.Rejects(now, 2 * kSecond, late ? 0.2 : 1, i / 1000.0)) continue;
+    if (control.ShouldReject(now, 2 * kSecond, late ? 0.2 : 1, i / 1000.0)) continue;
     ++(late ? admitted.retries : admitted.first_attempts);
   }
   return admitted;
--- a/tests/limits/concurrency_limit_test.cpp
+++ b/tests/limits/concurrency_limit_test.cpp
@@ -13,19 +13,19 @@
 TEST(ConcurrencyLimit, IsCutOncePerIntervalAndRaisedByAnswers) {
   ConcurrencyLimit limit;
   EXPECT_TRUE(limit.Admits(1'000'000));
-  limit.Cut(kNow, 9, 50 * kMs);  // to 8
+  limit.Decrease(kNow, 9, 50 * kMs);  // to 8
   EXPECT_TRUE(limit.Admits(7));
   EXPECT_FALSE(limit.Admits(8));
-  limit.Cut(kNow + kMs, 0, 50 * kMs);
+  limit.Decrease(kNow + kMs, 0, 50 * kMs);
   EXPECT_TRUE(limit.Admits(7));
-  for (int i = 0; i < 9; ++i) limit.Raise();
+  for (int i = 0; i < 9; ++i) limit.Increase();
   EXPECT_TRUE(limit.Admits(8));
   EXPECT_FALSE(limit.Admits(10));
 }
 
 TEST(ConcurrencyLimit, AlwaysAdmitsOneAndIsResetByARestart) {
   ConcurrencyLimit limit;
-  for (int i = 0; i < 20; ++i) limit.Cut(kNow + i * kSecond, 0, 50 * kMs);
+  for (int i = 0; i < 20; ++i) limit.Decrease(kNow + i * kSecond, 0, 50 * kMs);
   EXPECT_TRUE(limit.Admits(0));
   EXPECT_FALSE(limit.Admits(1));
   limit.Reset();
--- a/tests/limits/ejection_test.cpp
+++ b/tests/limits/ejection_test.cpp
@@ -10,8 +10,8 @@
 
 class EjectionTest : public testing::Test {
  protected:
-  bool Eject(Micros now, OutlierSign sign = OutlierSign::kSlow) {
-    return ejection_.Eject(now, sign, scales_, random_);
+  bool Eject(Micros now, EjectionReason reason = EjectionReason::kSlow) {
+    return ejection_.Eject(now, reason, scales_, random_);
   }
 
   const estimates::TimeScales scales_{estimates::Normalized(TestSettings())};
@@ -32,40 +32,40 @@
 TEST_F(EjectionTest, OnlyAFailedTrialRenewsIt) {
   Eject(now_);
   EXPECT_FALSE(Eject(now_ + kMs));
-  EXPECT_EQ(ejection_.since(), now_);
+  EXPECT_EQ(ejection_.last_ejected(), now_);
   EXPECT_TRUE(Eject(now_ + 100 * kMs));
-  EXPECT_EQ(ejection_.since(), now_ + 100 * kMs);
+  EXPECT_EQ(ejection_.last_ejected(), now_ + 100 * kMs);
 }
 
 TEST_F(EjectionTest, BackoffDoublesUpToTheLongestObjective) {
   Micros longest = 0;
   for (int i = 0; i < 10; ++i) {
-    ejection_.BackOff(now_, scales_, random_);
+    ejection_.StartBackoff(now_, scales_, random_);
     EXPECT_GE(ejection_.backoff(), longest);
     longest = ejection_.backoff();
   }
   EXPECT_EQ(longest, 400 * kMs);
   EXPECT_FALSE(ejection_.ejected());
-  ejection_.Answered(now_, kSecond);
+  ejection_.OnResponse(now_, kSecond);
   EXPECT_EQ(ejection_.backoff(), 0);
 }
 
 TEST_F(EjectionTest, ALongUnreachableServerMayHaveBeenRestarted) {
-  Eject(now_, OutlierSign::kUnreachable);
-  EXPECT_FALSE(ejection_.Answered(now_ + kSecond, kSecond));
-  EXPECT_TRUE(ejection_.Answered(now_ + kSecond + 1, kSecond));
+  Eject(now_, EjectionReason::kUnreachable);
+  EXPECT_FALSE(ejection_.OnResponse(now_ + kSecond, kSecond));
+  EXPECT_TRUE(ejection_.OnResponse(now_ + kSecond + 1, kSecond));
   ejection_.Reinstate();
   EXPECT_FALSE(ejection_.ejected());
-  Eject(now_, OutlierSign::kSlow);
-  EXPECT_FALSE(ejection_.Answered(now_ + 9 * kSecond, kSecond));
+  Eject(now_, EjectionReason::kSlow);
+  EXPECT_FALSE(ejection_.OnResponse(now_ + 9 * kSecond, kSecond));
 }
 
 TEST_F(EjectionTest, ARestartAfterTheFailureReinstates) {
   Eject(now_);
-  ejection_.Restarted(now_ - kSecond);
+  ejection_.OnRestart(now_ - kSecond);
   EXPECT_TRUE(ejection_.ejected());
   EXPECT_FALSE(ejection_.InBackoff(now_));
-  ejection_.Restarted(now_ + kSecond);
+  ejection_.OnRestart(now_ + kSecond);
   EXPECT_FALSE(ejection_.ejected());
 }
 
--- a/tests/limits/slow_start_budget_test.cpp
+++ b/tests/limits/slow_start_budget_test.cpp
@@ -20,10 +20,10 @@
 
 TEST(SlowStartBudget, TheQuotasAreSharedEvenlyByTheServers) {
   Settings settings = TestSettings();
-  EXPECT_DOUBLE_EQ(EvenRate(settings, 4), 0);
+  EXPECT_DOUBLE_EQ(QuotaRatePerServer(settings, 4), 0);
   settings.tenants = {{"first", 300, 0.5}, {"second", 100, 0.5}};
-  EXPECT_DOUBLE_EQ(EvenRate(settings, 4), 100e-6);
-  EXPECT_DOUBLE_EQ(EvenRate(settings, 0), 400e-6);
+  EXPECT_DOUBLE_EQ(QuotaRatePerServer(settings, 4), 100e-6);
+  EXPECT_DOUBLE_EQ(QuotaRatePerServer(settings, 0), 400e-6);
 }
 
 TEST(SlowStartBudget, TheBudgetIsThatOfOneWindow) {
@@ -31,7 +31,7 @@
   settings.router_count = 1;
   SlowStartBudget budget;
   // A warm server finishes half of the time's work for this router; a fifth of that, times 4/3, is 133 ms.
-  const SlowStartBudget::Server server{.capacity_share = 0.2, .warm_rate = 0.5, .even_rate = 0};
+  const SlowStartBudget::Server server{.capacity_share = 0.2, .warm_throughput = 0.5, .quota_rate = 0};
   const auto none = [] { return 0.0; };
   int sent = 0;
   while (sent < 100 && budget.Admits(settings, kNow, 20 * kMs, server, none)) {
@@ -47,7 +47,7 @@
 TEST(SlowStartBudget, APartOfOneRequestIsDrawn) {
   Settings settings = TestSettings();
   settings.router_count = 200;
-  const SlowStartBudget::Server server{.capacity_share = 0.2, .warm_rate = 0, .even_rate = 0};
+  const SlowStartBudget::Server server{.capacity_share = 0.2, .warm_throughput = 0, .quota_rate = 0};
   int admitted = 0;
   for (int i = 0; i < 200; ++i) {
     SlowStartBudget budget;
--- a/tests/limits/token_budget_test.cpp
+++ b/tests/limits/token_budget_test.cpp
@@ -10,13 +10,13 @@
 
 TEST(TokenBudget, SpendsNoMoreThanItHas) {
   TokenBudget budget(1, 2);
-  EXPECT_TRUE(budget.TryTake(1));
-  EXPECT_FALSE(budget.TryTake(0.5));
+  EXPECT_TRUE(budget.TryConsume(1));
+  EXPECT_FALSE(budget.TryConsume(0.5));
   budget.Refill(0.5);
-  EXPECT_TRUE(budget.TryTake(0.5));
+  EXPECT_TRUE(budget.TryConsume(0.5));
   budget.Refill(100);
-  EXPECT_TRUE(budget.TryTake(2));
-  EXPECT_FALSE(budget.TryTake(0.1));
+  EXPECT_TRUE(budget.TryConsume(2));
+  EXPECT_FALSE(budget.TryConsume(0.1));
 }
 
 }  // namespace
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -36,7 +36,7 @@
   outliers.ObserveAttempt(table_.At(2), attempt, timeout, scope);
   EXPECT_FALSE(table_.At(2).ejection.ejected());
   timeout.elapsed = 390 * kMs;
-  table_.At(3).last_answer = kNow - 10 * kMs;
+  table_.At(3).last_response = kNow - 10 * kMs;
   outliers.ObserveAttempt(table_.At(3), attempt, timeout, scope);
   EXPECT_FALSE(table_.At(3).ejection.ejected());
   outliers.ObserveAttempt(table_.At(2), attempt, timeout, scope);
