--- a/src/endpoints/endpoint_table.cpp
+++ b/src/endpoints/endpoint_table.cpp
@@ -75,7 +75,8 @@
   UpdatePrimary(groups_[server.group]);
 }
 
-// The group's primary is the member that was last seen to be one, else the one that is listed as such.
+// The group's primary is the member most recently observed as primary. If there is none, it is a member
+// with an unknown role that is listed as primary.
 void EndpointTable::UpdatePrimary(Group& group) {
   const Server* primary = nullptr;
   const Server* listed = nullptr;
--- a/src/endpoints/endpoint_table.hpp
+++ b/src/endpoints/endpoint_table.hpp
@@ -1,5 +1,4 @@
-// The servers and groups that a Router knows: kept up by updates of the endpoint list and by what is observed
-// of their roles.
+// The servers and groups that a Router knows, updated from the endpoint list and from observed roles.
 #ifndef TULIPYOKE_SRC_ENDPOINTS_ENDPOINT_TABLE_HPP_
 #define TULIPYOKE_SRC_ENDPOINTS_ENDPOINT_TABLE_HPP_
 
@@ -17,25 +16,27 @@
  public:
   explicit EndpointTable(const RoutingContext& context) : context_(context) {}
 
-  // Null where the server is not known.
+  // Returns null if the server is unknown.
   Server* Find(ServerId id);
   const Server* Find(ServerId id) const;
-  // Of a member of a group.
+  // Returns a known server, such as a member of a group.
   Server& At(ServerId id) { return servers_.at(id); }
   const Server& At(ServerId id) const { return servers_.at(id); }
   bool HasGroup(int group) const { return groups_.contains(group); }
   Group& GroupAt(int group) { return groups_.at(group); }
   std::map<ServerId, Server>& servers() { return servers_; }
   std::map<int, Group>& groups() { return groups_; }
-  // The most servers that were open at once.
+  // The largest number of servers that were open at the same time.
   std::size_t peak_open_count() const { return peak_open_count_; }
 
-  // Takes in an update, and requests health checks of servers that joined.
+  // Applies an update and requests health checks of servers that became ready or were newly listed as
+  // primary.
   void Apply(const EndpointListUpdate& update, HealthChecks& checks, EventScope& scope);
-  // Notes a server's role as it was at `when`; newer evidence holds.
+  // Records the role that a server had at `when`, unless a newer role is known.
   void ObserveRole(Server& server, Role role, Micros when);
-  // Notes which servers are open now, and drops those that left long ago and have nothing in flight: servers
-  // are replaced by others under new ids for ever.
+  // UpdateLastOpenTimes records which servers are open now. RemoveGoneServers removes those that closed
+  // long ago and have nothing in flight; without it the table would grow without bound, since replacement
+  // servers get new ids.
   void UpdateLastOpenTimes(Micros now);
   void RemoveGoneServers(Micros now);
 
--- a/src/endpoints/health_checks.cpp
+++ b/src/endpoints/health_checks.cpp
@@ -5,10 +5,10 @@
 namespace tulipyoke::endpoints {
 namespace {
 
-// Health checks for waiting reads, as a share of the requests that arrive; other reads wait for what answers
-// show.
+// How many health checks for parked reads each arriving request adds to the budget. Other reads rely on
+// what responses show.
 constexpr double kChecksPerRequest = 0.2;
-// The checks that all routers together may request at once.
+// The number of checks that all routers together may request at once.
 constexpr double kTotalBurst = 20.0;
 
 double BurstPerRouter(const Settings& settings) { return std::max(1.0, kTotalBurst / settings.router_count); }
--- a/src/endpoints/health_checks.hpp
+++ b/src/endpoints/health_checks.hpp
@@ -1,4 +1,4 @@
-// Requests health checks of servers, within a budget that all routers share.
+// Requests health checks of servers within this router's part of a budget for all routers.
 #ifndef TULIPYOKE_SRC_ENDPOINTS_HEALTH_CHECKS_HPP_
 #define TULIPYOKE_SRC_ENDPOINTS_HEALTH_CHECKS_HPP_
 
@@ -13,14 +13,15 @@
  public:
   explicit HealthChecks(const RoutingContext& context);
 
-  // A request has arrived: the budget grows by a share of a check.
+  // Adds a fraction of a check to the budget for each request that arrives.
   void Refill();
-  // Takes a check from the budget for a read that is itself sent to learn a server's position.
+  // Takes a check from the budget for a read that is sent to learn a server's position.
   bool TryConsumeForRead() { return budget_.TryConsume(1); }
-  // Requests a check unless one is in progress, the last one is more recent than `min_interval` (0: at any
-  // time), or the budget is spent.
+  // Requests a check unless one is in progress, the last one is more recent than `min_interval` (0 disables
+  // this condition) or the budget is empty.
   void Request(Server& server, Micros min_interval, EventScope& scope);
-  // Sets the interval to the next check by whether the last one showed a newer position.
+  // Sets the interval until the next check: the shortest one if the last check showed a newer position,
+  // else twice the previous one up to a maximum.
   void UpdateInterval(HealthCheckState& check, bool newer_position) const;
 
  private:
--- a/src/endpoints/list_refresh.hpp
+++ b/src/endpoints/list_refresh.hpp
@@ -1,5 +1,5 @@
-// Asks for the endpoint list anew from time to time, where it has to be asked for: a subscription that was
-// lost without notice would leave it to age.
+// Periodically requests the endpoint list again if it has to be polled. Otherwise the list would become
+// outdated when a subscription is lost without notice.
 #ifndef TULIPYOKE_SRC_ENDPOINTS_LIST_REFRESH_HPP_
 #define TULIPYOKE_SRC_ENDPOINTS_LIST_REFRESH_HPP_
 
@@ -12,9 +12,9 @@
  public:
   explicit ListRefresh(const RoutingContext& context) : context_(context) {}
 
-  // The list could not be had: ask again soon.
+  // Schedules an early request after the list could not be fetched.
   void OnFetchFailed(Micros now) { next_refresh_ = now + context_.scales.longest_objective; }
-  // Asks where it is due.
+  // Requests the list if it is time to.
   void RunIfDue(EventScope& scope);
 
  private:
--- a/src/endpoints/outcome_observer.cpp
+++ b/src/endpoints/outcome_observer.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr Micros kMicrosPerMilli = 1000;
-// An answer later than this share of its objective is a sign of overload: a whole objective leaves nothing
-// for waiting or a retry.
+// A response that takes longer than this share of its latency objective is a sign of overload. With the
+// whole objective as the threshold, no time would remain for waiting or a retry.
 constexpr double kLateThresholdShare = 0.6;
-// An answer of a primary within so many usual times says that it has spare capacity.
+// A primary that responds within this multiple of the typical latency has spare capacity.
 constexpr double kFastThresholdRatio = 2.0;
 
 }  // namespace
@@ -38,7 +38,7 @@
   server.throughput.Add(now, context_.latency.TypicalLatency(class_index), context_.scales.throughput_window);
 }
 
-// A short time-out is the client's or that of a wait, and no sign of the server.
+// A short timeout comes from the client or from a bounded wait and says nothing about the server.
 OutcomeTiming ClassifyTiming(const AttemptEnded& outcome, const ClassSettings& c) {
   const double late_threshold = kLateThresholdShare * static_cast<double>(c.latency_objective);
   const bool late = static_cast<double>(outcome.elapsed) > late_threshold;
@@ -79,11 +79,12 @@
   }
 }
 
-// Kept by attempt and not by request: a write may go through after its request has ended.
+// The session key is stored per attempt, not per request, because a write may succeed after its request has
+// ended.
 void OutcomeObserver::RecordCommit(const Server& server, const InFlightAttempt& attempt,
                                    const AttemptEnded& outcome, Micros now) {
   if (context_.settings.token_mode != TokenMode::kRemembered || attempt.key == 0) return;
-  // A commit whose position is not told is taken to be now: to round up is safe.
+  // A commit without a reported position is assumed to be at the current time: rounding up is safe.
   const bool has_position = outcome.position_ms.has_value();
   const Micros position = has_position ? *outcome.position_ms * kMicrosPerMilli : context_.PositionAt(now);
   tokens_.Record(attempt.key, server.group, position);
@@ -100,7 +101,8 @@
   if (values.queue_length) server.queue.Observe(now, *values.queue_length);
   if (values.in_service) context_.service_concurrency.Observe(*values.in_service);
   if (!values.position || *values.position > context_.PositionAt(now)) return false;
-  // A position is never later than its report, so it dates the role; that of a primary exactly.
+  // A position is never later than its report, so it is used as the time of the role. For a primary it is
+  // exact.
   table_.ObserveRole(server, values.role, *values.position + context_.settings.position_epoch);
   const Micros before = server.position.value();
   ObservePosition(server, *values.position, PositionKind::kRounded, now);
--- a/src/endpoints/outcome_observer.hpp
+++ b/src/endpoints/outcome_observer.hpp
@@ -1,4 +1,4 @@
-// Learns from what servers answer and report: latency, load, roles, positions and commits.
+// Updates latency, load, roles, positions and commits from responses and load reports.
 #ifndef TULIPYOKE_SRC_ENDPOINTS_OUTCOME_OBSERVER_HPP_
 #define TULIPYOKE_SRC_ENDPOINTS_OUTCOME_OBSERVER_HPP_
 
@@ -8,10 +8,10 @@
 
 namespace tulipyoke::endpoints {
 
-// How an outcome compares with the latency objective of its class.
+// How the outcome of an attempt compares with the latency objective of its class.
 struct OutcomeTiming {
   bool in_time = false;
-  bool overloaded = false;  // a sign that the server has too much to do
+  bool overloaded = false;  // a sign that the server is overloaded
 };
 OutcomeTiming ClassifyTiming(const AttemptEnded& outcome, const ClassSettings& c);
 
@@ -20,12 +20,12 @@
   OutcomeObserver(RoutingContext& context, EndpointTable& table, sessions::ConsistencyTokens& tokens)
       : context_(context), table_(table), tokens_(tokens) {}
 
-  // The attempt at the server has ended.
+  // Handles the end of an attempt at the server.
   void ObserveAttempt(Server& server, const estimates::InFlightAttempt& attempt, const AttemptEnded& outcome,
                       Micros now);
-  // Learns from a load report. True where it shows a newer position.
+  // Handles a load report. Returns true if it shows a newer position.
   bool ObserveReport(Server& server, const Report& report, Micros now);
-  // What another process of this router observed.
+  // Handles an observation made by another process of this router.
   void ObserveServer(Server& server, const ServerObservation& observation, Micros now);
 
  private:
--- a/src/endpoints/routing_context.hpp
+++ b/src/endpoints/routing_context.hpp
@@ -1,4 +1,4 @@
-// What the parts of one Router share, and the event that is being handled.
+// The state that the components of one Router share, and the event being handled.
 #ifndef TULIPYOKE_SRC_ENDPOINTS_ROUTING_CONTEXT_HPP_
 #define TULIPYOKE_SRC_ENDPOINTS_ROUTING_CONTEXT_HPP_
 
@@ -14,14 +14,14 @@
 
 namespace tulipyoke::endpoints {
 
-// Owned by the Router; the parts keep references to it.
+// Owned by the Router; its components keep references to it.
 struct RoutingContext {
   RoutingContext(const Settings& given, std::uint64_t seed);
   RoutingContext(const RoutingContext&) = delete;
   RoutingContext& operator=(const RoutingContext&) = delete;
 
   const ClassSettings& ClassOf(int index) const { return settings.classes[static_cast<std::size_t>(index)]; }
-  // The position of a server that has applied everything up to the clock time.
+  // The replication position of a server that has applied everything up to the given clock time.
   Micros PositionAt(Micros clock) const { return clock - settings.position_epoch; }
 
   const Settings settings;  // normalized
@@ -32,13 +32,13 @@
   estimates::ServiceConcurrency service_concurrency;
 };
 
-// The event that is being handled: its time, and the actions that it leads to, in order.
+// The event being handled: its time and the resulting actions, in order.
 struct EventScope {
   Micros now = 0;
   std::vector<Action>& actions;
 };
 
-// Whether only a primary can serve requests of the class.
+// Returns whether requests of the class can only be served by a primary.
 inline bool NeedsPrimary(const ClassSettings& c) {
   return c.freshness == Freshness::kWrite || c.freshness == Freshness::kFresh;
 }
--- a/src/endpoints/server.hpp
+++ b/src/endpoints/server.hpp
@@ -1,4 +1,4 @@
-// What a Router knows of one server, and of one group of servers.
+// The state that a Router keeps for each server and each group of servers.
 #ifndef TULIPYOKE_SRC_ENDPOINTS_SERVER_HPP_
 #define TULIPYOKE_SRC_ENDPOINTS_SERVER_HPP_
 
@@ -19,25 +19,25 @@
 namespace tulipyoke::endpoints {
 
 inline constexpr int kNoGroup = -1;
-// Before every time of a Router.
+// Earlier than any time that a Router uses.
 inline constexpr Micros kNever = -1;
 
 struct HealthCheckState {
   bool in_progress = false;
   Micros sent = kNever;
   Micros succeeded = kNever;
-  Micros interval = 0;  // grows while the checks show no newer position
+  Micros interval = 0;  // increases while the checks show no newer position
 };
 
 struct Server {
-  // The server was started at `when`: what was learned of the process before does not hold for this one.
+  // Handles a restart of the server at `when`: discards what was learned about the previous process.
   void OnRestart(Micros when);
-  // Notes an answer of the server, whatever its outcome.
+  // Handles a response of the server, whatever its status.
   void OnResponse(Micros now, Micros restart_time);
-  // Whether an attempt may go there as far as ejection goes: one at a time tries an ejected server, and only
-  // after a health check that succeeded since.
+  // Returns whether ejection allows an attempt at this server. An ejected server gets one attempt at a
+  // time, and, if health checks are allowed, only after a check that succeeded since the ejection.
   bool AdmitsTrial(bool health_checks_allowed) const;
-  // Smoothed share of its attempts that fail.
+  // The smoothed fraction of its attempts that fail.
   double FailureRate(Micros now, const estimates::TimeScales& scales) const;
 
   ServerId id = 0;
@@ -47,7 +47,7 @@
   bool listed_primary = false;
   Micros boot_time = 0;
   Micros known_since = 0;
-  Micros last_open = 0;  // when it was last known to be open
+  Micros last_open = 0;  // the last time at which it was open
   Role role = Role::kUnknown;
   Micros role_time = kNever;
   Micros last_response = kNever;
@@ -67,11 +67,11 @@
 struct Group {
   std::vector<ServerId> members;
   bool has_primary = false;
-  ServerId primary = 0;                // 0 where there is none
-  limits::AdmissionControl admission;  // of reads at its replicas
+  ServerId primary = 0;                // 0 if there is none
+  limits::AdmissionControl admission;  // for reads at its replicas
   limits::PrimaryHeadroom headroom;
-  double warm_throughput =
-      0;  // work per microsecond that a warm member was last seen to finish for this router
+  // The work per microsecond that a warm member finishes for this router.
+  double warm_throughput = 0;
 };
 
 }  // namespace tulipyoke::endpoints
--- a/src/endpoints/warm_throughput.cpp
+++ b/src/endpoints/warm_rates.cpp
@@ -1,4 +1,4 @@
-#include "src/endpoints/warm_throughput.hpp"
+#include "src/endpoints/warm_rates.hpp"
 
 #include <algorithm>
 
--- a/src/estimates/in_flight.hpp
+++ b/src/estimates/in_flight.hpp
@@ -12,7 +12,7 @@
 
 namespace tulipyoke::estimates {
 
-// Kept until its outcome, even when its request has ended before.
+// Kept until the outcome of the attempt is known, even if its request has ended before.
 struct InFlightAttempt {
   RequestId id = 0;
   int attempt = 0;
@@ -20,13 +20,13 @@
   std::uint64_t key = 0;
   Micros sent = 0;
   bool cancelled = false;
-  bool freshness_check = false;  // sent on a predicted position alone: the server may turn it away
+  bool freshness_check = false;  // relies on a predicted position: the server may reject it
 };
 
 class InFlightAttempts {
  public:
   void Add(const InFlightAttempt& attempt) { attempts_.push_back(attempt); }
-  // Removes the attempt and returns it; nothing where it is not in flight here.
+  // Removes the attempt and returns it, or returns nullopt if it is not in flight here.
   std::optional<InFlightAttempt> Remove(RequestId id, int attempt) {
     const auto same = [&](const InFlightAttempt& a) { return a.id == id && a.attempt == attempt; };
     const auto found = std::find_if(attempts_.begin(), attempts_.end(), same);
@@ -38,7 +38,7 @@
   bool HasFreshnessCheck() const {
     return std::any_of(begin(), end(), [](const InFlightAttempt& a) { return a.freshness_check; });
   }
-  // Whether one that was sent at `since` or later is still wanted.
+  // Returns whether an attempt that was sent at `since` or later has not been cancelled.
   bool HasActiveSentSince(Micros since) const {
     return std::any_of(begin(), end(),
                        [&](const InFlightAttempt& a) { return a.sent >= since && !a.cancelled; });
--- a/src/estimates/latency_model.cpp
+++ b/src/estimates/latency_model.cpp
@@ -7,10 +7,11 @@
 namespace tulipyoke::estimates {
 namespace {
 
-// The part of its latency objective that a class is taken to need before its first answer.
+// The share of the latency objective that is assumed as the typical latency of a class before its first
+// response.
 constexpr double kInitialObjectiveShare = 0.25;
-// The largest weight of a sample that comes after a silence: one of hundreds of routers sees little, and what
-// it saw a while ago says less than what it sees now.
+// The maximum weight of a sample after a gap. One of hundreds of routers sees few responses, and its older
+// observations say less than the current one.
 constexpr double kMaxWeightAfterGap = 0.5;
 
 }  // namespace
--- a/src/estimates/latency_model.hpp
+++ b/src/estimates/latency_model.hpp
@@ -1,6 +1,6 @@
-// Expected response times. A request's time is modelled as the usual time of its class multiplied by
-// the latency_ratio of its server. The two are learned apart, so that a class which only busy servers can
-// take does not look slow by itself.
+// Expected response times. The latency of a request is modelled as the typical latency of its class
+// multiplied by the latency ratio of its server. The two are estimated separately, so that a class that
+// only busy servers can serve is not itself considered slow.
 #ifndef TULIPYOKE_SRC_ESTIMATES_LATENCY_MODEL_HPP_
 #define TULIPYOKE_SRC_ESTIMATES_LATENCY_MODEL_HPP_
 
@@ -12,13 +12,14 @@
 
 namespace tulipyoke::estimates {
 
-// The response time of one server relative to the usual one; it fades to 1 when nothing confirms it.
+// The latency of one server relative to the typical latency. It decays to 1 without new observations.
 class LatencyRatio {
  public:
   double At(Micros now, Micros decay_time) const;
-  // Notes an answer that took `ratio` times the usual. After a silence it counts for more than one of many.
+  // Records a response that took `ratio` times the typical latency. After a gap without responses its
+  // weight is larger.
   void Observe(Micros now, const TimeScales& scales, double ratio);
-  // The server has been restarted.
+  // Resets the ratio after a restart of the server.
   void Reset() { value_ = 1; }
 
  private:
@@ -26,7 +27,7 @@
   Micros observed_at_ = 0;
 };
 
-// The usual times of all classes, in microseconds.
+// The typical latencies of all classes, in microseconds.
 class LatencyModel {
  public:
   LatencyModel(const Settings& settings, const TimeScales& scales);
@@ -34,11 +35,11 @@
   double TypicalLatency(int class_index) const {
     return typical_latencies_[static_cast<std::size_t>(class_index)];
   }
-  // The time that the server is expected to take for a request of the class.
+  // The time that the server is expected to need for a request of the class.
   double ExpectedLatency(const LatencyRatio& server, int class_index, Micros now) const;
-  // The time that the attempts in flight at the server are expected to take from now on.
+  // The time that the server is expected to need from now on for its attempts in flight.
   double RemainingWork(const InFlightAttempts& attempts, const LatencyRatio& server, Micros now) const;
-  // Notes an answer, or the least time that an attempt must have taken.
+  // Records the latency of a response, or a lower bound of it for an attempt that timed out.
   void AddSample(LatencyRatio& server, int class_index, Micros elapsed, Micros now);
 
  private:
--- a/src/estimates/load_report.cpp
+++ b/src/estimates/load_report.cpp
@@ -38,7 +38,7 @@
   }
   const double seconds = ValueAt(report, position_);
   if (!(seconds > 0 && seconds < kMaxPositionSeconds)) return result;
-  // A float may have been rounded up: take the one below.
+  // A float may have been rounded up, so the next smaller value is used.
   const double below = rounded_floats_ ? std::nextafter(static_cast<float>(seconds), 0.0F) : seconds;
   result.position = static_cast<Micros>(below * kMicrosPerSecond);
   const double role = ValueAt(report, role_);
--- a/src/estimates/load_report.hpp
+++ b/src/estimates/load_report.hpp
@@ -1,4 +1,4 @@
-// Reads the load reports of servers, whose fields are named in the settings.
+// Parses the load reports of servers; the settings name their fields.
 #ifndef TULIPYOKE_SRC_ESTIMATES_LOAD_REPORT_HPP_
 #define TULIPYOKE_SRC_ESTIMATES_LOAD_REPORT_HPP_
 
@@ -9,11 +9,11 @@
 
 namespace tulipyoke::estimates {
 
-// What a report says, without values that are impossible.
+// The contents of a load report, without impossible values.
 struct LoadReport {
-  std::optional<double> queue_length;  // requests that wait
-  std::optional<double> in_service;    // requests in service while others wait
-  std::optional<Micros> position;      // not later than the report
+  std::optional<double> queue_length;  // requests that are waiting
+  std::optional<double> in_service;    // requests being served while others wait
+  std::optional<Micros> position;      // never later than the report
   Role role = Role::kUnknown;
 };
 
--- a/src/estimates/random.hpp
+++ b/src/estimates/random.hpp
@@ -1,4 +1,4 @@
-// The pseudo-random generator of a Router (SplitMix64): the same seed gives the same decisions.
+// The pseudo-random number generator of a Router (SplitMix64). The same seed gives the same decisions.
 #ifndef TULIPYOKE_SRC_ESTIMATES_RANDOM_HPP_
 #define TULIPYOKE_SRC_ESTIMATES_RANDOM_HPP_
 
@@ -17,9 +17,9 @@
     z = (z ^ (z >> 27)) * 0x94d049bb133111eb;
     return z ^ (z >> 31);
   }
-  // Uniform in [0, 1).
+  // Returns a number that is uniform in [0, 1).
   double NextDouble() { return static_cast<double>(Next() >> 11) / kTwoTo53; }
-  // True with a probability of one in `count`.
+  // Returns true with a probability of one in `count`.
   bool OneIn(int count) { return Next() % static_cast<std::uint64_t>(count) == 0; }
 
  private:
--- a/src/estimates/replica_position.cpp
+++ b/src/estimates/replica_position.cpp
@@ -7,9 +7,10 @@
 namespace tulipyoke::estimates {
 namespace {
 
-// The slowest rate that is believed: a replica that stands still may go on at any moment.
+// The minimum apply rate that is assumed: a replica that has stopped may continue at any moment.
 constexpr double kMinApplyRate = 0.05;
-// Two positions nearer than so many clock ticks give no rate: rounding would dominate.
+// The minimum time between two positions from which a rate is computed, in clock ticks. Over a shorter
+// time, rounding errors would dominate.
 constexpr int kMinTicksPerRateSample = 10;
 
 }  // namespace
--- a/src/estimates/replica_position.hpp
+++ b/src/estimates/replica_position.hpp
@@ -1,6 +1,6 @@
 // The replication position of one server and the rate at which it applies changes.
 //
-// A position is the commit time of the newest change that is applied, in microseconds after
+// A position is the commit time of the newest applied change, in microseconds after
 // Settings::position_epoch.
 #ifndef TULIPYOKE_SRC_ESTIMATES_REPLICA_POSITION_HPP_
 #define TULIPYOKE_SRC_ESTIMATES_REPLICA_POSITION_HPP_
@@ -9,28 +9,29 @@
 
 namespace tulipyoke::estimates {
 
-// Older than every position, so that positions that are not known compare as too old; as a required position:
-// none is required.
+// Older than every position, so that an unknown position compares as too old. As a required position, it
+// means that none is required.
 inline constexpr Micros kNoPosition = -1;
 
-// An exact position replaces an equal one, which dates it anew; one that was rounded does not.
+// An exact position that equals the known one updates its observation time; a rounded one does not.
 enum class PositionKind { kExact, kRounded };
 
 class ReplicaPosition {
  public:
-  // Notes a position. One that lies after `present`, the position of a server without lag, is ignored, as is
-  // one older than what was observed before. `resolution` is that of the clock.
+  // Records a position. It is ignored if it is later than `present`, the position of a server without lag,
+  // or older than the known one. `resolution` is the clock resolution.
   void Observe(Micros now, Micros position, PositionKind kind, Micros present, Micros resolution);
-  // The server has been restarted: it applies at the usual rate again.
+  // Resets the apply rate to 1 after a restart of the server.
   void ResetApplyRate() { rate_ = 1; }
 
   bool known() const { return position_ != kNoPosition; }
   Micros value() const { return position_; }
   Micros observed_at() const { return observed_at_; }
-  // The time until the server is expected to have applied `needed`, in microseconds. A rate that was not
-  // confirmed for `decay_time` fades to 1: a replica that once stood still would never be asked again.
+  // The expected time until the server has applied `needed`, in microseconds. The apply rate decays to 1
+  // with `decay_time` without new observations; otherwise a replica that once stopped would never be
+  // selected again.
   double PredictedWait(Micros needed, Micros now, Micros decay_time) const;
-  // How far it was behind when it was observed; 0 where it is not known.
+  // The replication lag at the time of the observation, or 0 if the position is unknown.
   Micros ObservedLag(Micros position_epoch) const;
 
  private:
@@ -38,7 +39,7 @@
 
   Micros position_ = kNoPosition;
   Micros observed_at_ = 0;
-  // Applied time per elapsed time, measured from this observation on.
+  // Applied time per elapsed time, and the observation from which the next rate is measured.
   double rate_ = 1;
   Micros rate_position_ = kNoPosition;
   Micros rate_observed_ = 0;
--- a/src/estimates/throughput.cpp
+++ b/src/estimates/throughput.cpp
@@ -7,20 +7,20 @@
 namespace tulipyoke::estimates {
 namespace {
 
-// Weight of a new outcome in the share of attempts that fail.
+// The weight of a new outcome in the failure rate.
 constexpr double kFailureWeight = 0.2;
 
 }  // namespace
 
-void Throughput::Add(Micros now, double work, Micros window) {
-  rate_ *= DecayFactor(now - updated_, window);
-  rate_ += work / static_cast<double>(window);
+void Throughput::Add(Micros now, double work, Micros time_constant) {
+  rate_ *= DecayFactor(now - updated_, time_constant);
+  rate_ += work / static_cast<double>(time_constant);
   updated_ = now;
 }
 
-double Throughput::Rate(Micros now, Micros observed_for, Micros window) const {
-  const double counted = 1 - DecayFactor(observed_for, window);
-  return RatioOrZero(rate_ * DecayFactor(now - updated_, window), counted);
+double Throughput::Rate(Micros now, Micros observed_for, Micros time_constant) const {
+  const double counted = 1 - DecayFactor(observed_for, time_constant);
+  return RatioOrZero(rate_ * DecayFactor(now - updated_, time_constant), counted);
 }
 
 double FailureRate::At(Micros now, Micros decay_time) const {
--- a/src/estimates/throughput.hpp
+++ b/src/estimates/throughput.hpp
@@ -1,4 +1,4 @@
-// What one server does for this router: finished work, failed attempts and the queue that it reports.
+// The throughput, failure rate and reported queue of one server, as seen by this router.
 #ifndef TULIPYOKE_SRC_ESTIMATES_THROUGHPUT_HPP_
 #define TULIPYOKE_SRC_ESTIMATES_THROUGHPUT_HPP_
 
@@ -6,25 +6,26 @@
 
 namespace tulipyoke::estimates {
 
-// Work finished per microsecond, as an exponentially decaying sum.
+// Finished work per microsecond, as an exponentially decaying sum.
 class Throughput {
  public:
-  // Notes finished work, in microseconds of usual time.
-  void Add(Micros now, double work, Micros window);
-  // `observed_for`: how long work has been counted here; the sum of a short time stands for less than a span.
-  double Rate(Micros now, Micros observed_for, Micros window) const;
+  // Adds finished work, in microseconds of typical latency.
+  void Add(Micros now, double work, Micros time_constant);
+  // `observed_for` is how long work has been counted. It corrects the sum while that is short compared with
+  // `time_constant`.
+  double Rate(Micros now, Micros observed_for, Micros time_constant) const;
 
  private:
   double rate_ = 0;
   Micros updated_ = 0;
 };
 
-// The smoothed share of attempts that fail. It fades, so that the server is tried again.
+// The smoothed fraction of attempts that fail. It decays, so that the server is tried again.
 class FailureRate {
  public:
   double At(Micros now, Micros decay_time) const;
   void Observe(Micros now, bool failed, Micros decay_time);
-  // The server has been restarted.
+  // Resets the rate after a restart of the server.
   void Reset() { share_ = 0; }
 
  private:
@@ -32,15 +33,16 @@
   Micros observed_at_ = 0;
 };
 
-// The requests of all routers that wait at a server, as it last reported them.
+// The number of requests of all routers that wait at a server, as last reported.
 class ReportedQueue {
  public:
   void Observe(Micros now, double length);
-  // The server has been restarted.
+  // Clears the queue after a restart of the server.
   void Reset() { length_ = 0; }
   double length() const { return length_; }
   Micros Age(Micros now) const { return now - observed_at_; }
-  // What is left of it, in microseconds, when `concurrency` requests of `expected` time are served at once.
+  // The time until the queue is empty, in microseconds, if `concurrency` requests that take `expected` each
+  // are served at the same time.
   double RemainingWork(Micros now, double concurrency, double expected) const;
 
  private:
@@ -48,7 +50,7 @@
   Micros observed_at_ = 0;
 };
 
-// How many requests servers have in service at once while others wait, smoothed over all reports.
+// The number of requests that servers serve at the same time while others wait, smoothed over all reports.
 class ServiceConcurrency {
  public:
   void Observe(double in_service);
--- a/src/estimates/time_scales.cpp
+++ b/src/estimates/time_scales.cpp
@@ -5,7 +5,8 @@
 namespace tulipyoke::estimates {
 namespace {
 
-// A server that was slow is tried again after about so many of the longest deadlines.
+// The decay time and the retention of unlisted servers, as a multiple of the longest deadline. A slow server
+// is tried again after about that time.
 constexpr Micros kDecayDeadlines = 2;
 
 }  // namespace
--- a/src/estimates/time_scales.hpp
+++ b/src/estimates/time_scales.hpp
@@ -1,4 +1,4 @@
-// The time spans by which a Router works, derived once from its settings.
+// The time intervals that a Router uses, derived once from its settings.
 #ifndef TULIPYOKE_SRC_ESTIMATES_TIME_SCALES_HPP_
 #define TULIPYOKE_SRC_ESTIMATES_TIME_SCALES_HPP_
 
@@ -8,26 +8,27 @@
 
 namespace tulipyoke::estimates {
 
-// Later than any time of a Router; a quarter of the range, so that sums do not overflow.
+// Later than any time that a Router uses. It is a quarter of the range, so that sums do not overflow.
 inline constexpr Micros kForever = std::numeric_limits<Micros>::max() / 4;
 
-// How often housekeeping runs within the shortest latency objective: a wait that was predicted wrongly still
-// leaves time for another choice.
+// The number of housekeeping runs within the shortest latency objective, so that after a wrong prediction
+// of a wait there is still time to choose again.
 inline constexpr int kHousekeepingRunsPerObjective = 8;
 
 struct TimeScales {
   explicit TimeScales(const Settings& normalized);
 
-  Micros housekeeping_interval = 0;  // between two runs of the housekeeping
+  Micros housekeeping_interval = 0;  // between two housekeeping runs
   Micros longest_objective = 0;
   Micros longest_deadline = 0;
   Micros tightest_staleness_bound = kForever;  // of all bounded classes
-  Micros decay_time = 0;                       // an observation that is not confirmed decays over this span
-  Micros unlisted_retention = 0;               // a server that is not listed any more is dropped after that
-  Micros throughput_window = 0;                // over which finished work is summed up
+  Micros decay_time = 0;                       // time constant for the decay of observations
+  Micros unlisted_retention = 0;               // how long a server is kept after it closed
+  Micros throughput_window = 0;                // time constant of the throughput of servers
 };
 
-// The settings with defaults where a class has only one of objective and deadline, and with positive counts.
+// Returns the settings with defaults for classes that have only one of latency objective and deadline, and
+// with a positive router count and clock resolution.
 Settings Normalized(Settings settings);
 
 }  // namespace tulipyoke::estimates
--- a/src/limits/admission_control.cpp
+++ b/src/limits/admission_control.cpp
@@ -8,21 +8,21 @@
 namespace tulipyoke::limits {
 namespace {
 
-// With this growth and this cut, one late answer in four is no sign of overload.
+// With these two steps, one late response in four is not treated as overload.
 constexpr double kIncreaseStep = 0.035;
 constexpr double kDecreaseFactor = 0.9;
-// Some reads are always admitted, so that free capacity is noticed: one of hundreds of routers has few reads
-// in a group and would notice too late with one in ten.
+// Some reads are always admitted so that the router notices when capacity is free again. A minimum of one
+// in ten was too small: one of hundreds of routers has few reads in a group and would notice too late.
 constexpr double kMinAdmittedShare = 0.3;
-// The largest weight of an answer after a silence: one of hundreds of routers sees little, and what it saw a
-// while ago says less than what it sees now.
+// The maximum weight of a response after a gap. One of hundreds of routers sees few responses, and its
+// older observations say less than the current one.
 constexpr double kMaxSampleWeight = 3.0;
 
 }  // namespace
 
 double AdmissionControl::AdmittedShare(Micros now, Micros decay_time) const {
-  const Micros positive_decay_time = std::max<Micros>(decay_time, 1);
-  return 1 - (1 - admitted_share_) * estimates::DecayFactor(now - observed_at_, positive_decay_time);
+  const Micros time_constant = std::max<Micros>(decay_time, 1);
+  return 1 - (1 - admitted_share_) * estimates::DecayFactor(now - observed_at_, time_constant);
 }
 
 void AdmissionControl::Observe(Micros now, Micros decay_time, Micros interval, bool in_time) {
@@ -38,7 +38,7 @@
 bool AdmissionControl::ShouldReject(Micros now, Micros decay_time, double priority, double draw) {
   priorities_[read_count_++ % priorities_.size()] = priority;
   const std::size_t known = std::min(read_count_, priorities_.size());
-  double ranked_ahead = 0;  // of the newest reads, those that go before this one
+  double ranked_ahead = 0;  // how many of the newest reads have precedence over this one
   for (std::size_t i = 0; i < known; ++i) {
     if (priorities_[i] > priority) ranked_ahead += 1;
     if (priorities_[i] == priority) ranked_ahead += draw;
--- a/src/limits/admission_control.hpp
+++ b/src/limits/admission_control.hpp
@@ -1,8 +1,8 @@
 // Admission control for the reads of a replica group.
 //
-// The client of a rejected read comes back after its wait, and by then its latency objective has passed or
-// nearly so. Where as many new requests are rejected as retries are admitted, an overloaded group spends its
-// capacity on answers that are worth little. So retries are rejected first.
+// The client of a rejected read retries after its wait, when its latency objective has passed or nearly so.
+// An overloaded group that rejects as many first attempts as it admits retries spends its capacity on
+// responses of little value, so retries are rejected first.
 #ifndef TULIPYOKE_SRC_LIMITS_ADMISSION_CONTROL_HPP_
 #define TULIPYOKE_SRC_LIMITS_ADMISSION_CONTROL_HPP_
 
@@ -13,15 +13,16 @@
 
 namespace tulipyoke::limits {
 
-// The share of a group's reads that is admitted: it grows with each answer in time and falls with each late
-// one, and returns to 1 when nothing confirms it.
+// The share of a group's reads that is admitted. It grows with each response in time, falls with each late
+// one, and decays back to 1 when there are no new observations.
 class AdmissionControl {
  public:
   double AdmittedShare(Micros now, Micros decay_time) const;
-  // Notes an answer. One after a silence counts for as many as come at every `interval`, up to a few.
+  // Records a response. After a gap without responses it gets the weight of one response per `interval` of
+  // the gap, up to a limit.
   void Observe(Micros now, Micros decay_time, Micros interval, bool in_time);
-  // Whether to reject a read of that priority; `draw` is uniform in [0, 1). Reads of a lower priority than
-  // the newest ones make way for these.
+  // Returns whether to reject a read with this priority; `draw` is uniform in [0, 1). A read is rejected if
+  // enough of the newest reads have a higher priority.
   bool ShouldReject(Micros now, Micros decay_time, double priority, double draw);
 
  private:
@@ -29,7 +30,7 @@
 
   double admitted_share_ = 1;
   Micros observed_at_ = 0;
-  std::array<double, kPriorityHistorySize> priorities_{};  // of the newest reads
+  std::array<double, kPriorityHistorySize> priorities_{};  // ring buffer of the newest reads
   std::size_t read_count_ = 0;
 };
 
--- a/src/limits/concurrency_limit.hpp
+++ b/src/limits/concurrency_limit.hpp
@@ -1,5 +1,6 @@
-// The limit of this router's attempts in flight at one server: cut at a sign of overload, raised by answers
-// in time (additive increase, multiplicative decrease). There is none before the first cut.
+// Limits the attempts of this router in flight at one server by additive increase and multiplicative
+// decrease: responses in time raise the limit, signs of overload lower it. There is no limit before the
+// first decrease.
 #ifndef TULIPYOKE_SRC_LIMITS_CONCURRENCY_LIMIT_HPP_
 #define TULIPYOKE_SRC_LIMITS_CONCURRENCY_LIMIT_HPP_
 
@@ -13,16 +14,16 @@
 class ConcurrencyLimit {
  public:
   bool Admits(std::size_t in_flight) const { return static_cast<double>(in_flight) < limit_; }
-  // Notes a sign of overload at one of the attempts, besides which `others` are in flight. One cut is made in
-  // each `interval`: all that were in flight together give the same sign.
+  // Handles a sign of overload from one attempt while `others` more are in flight. The limit decreases at
+  // most once per `interval`, because attempts that were in flight together report the same overload.
   void Decrease(Micros now, std::size_t others, Micros interval) {
     if (now < next_cut_) return;
     limit_ = std::max(1.0, kDecreaseFactor * std::min(limit_, static_cast<double>(others + 1)));
     next_cut_ = now + interval;
   }
-  // Notes an answer in time; as many as the limit raise it by one.
+  // Handles a response in time. As many responses as the current limit raise the limit by one.
   void Increase() { limit_ += 1 / std::max(limit_, 1.0); }
-  // The server has been restarted.
+  // Removes the limit after a restart of the server.
   void Reset() { limit_ = kNone; }
 
  private:
--- a/src/limits/ejection.cpp
+++ b/src/limits/ejection.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kBackoffFactor = 2.0;
-// The backoff is multiplied by a draw from this on, up to one more.
+// Each backoff is multiplied by a random factor between kMinJitter and kMinJitter + 1.
 constexpr double kMinJitter = 0.5;
 
 }  // namespace
--- a/src/limits/ejection.hpp
+++ b/src/limits/ejection.hpp
@@ -1,5 +1,5 @@
-// Ejection of one server from selection: as an outlier, until it has answered again, and for a backoff after
-// it rejected an attempt or could not be connected to.
+// Excludes one server from selection: as an outlier until it responds again, and for a backoff period after
+// it rejected an attempt or refused a connection.
 #ifndef TULIPYOKE_SRC_LIMITS_EJECTION_HPP_
 #define TULIPYOKE_SRC_LIMITS_EJECTION_HPP_
 
@@ -14,28 +14,28 @@
 class Ejection {
  public:
   bool ejected() const { return ejected_; }
-  // The newest failure for which it was ejected.
+  // The time of the newest failure that ejected the server or renewed its ejection.
   Micros last_ejected() const { return last_ejected_; }
   Micros backoff() const { return backoff_; }
   bool InBackoff(Micros now) const { return now < next_attempt_; }
 
-  // Ejects the server, or renews the ejection after a failed trial. False, and nothing changes, where it is
-  // ejected and no trial was due.
+  // Ejects the server, or renews the ejection after a failed trial. Returns false if the server is already
+  // ejected and still in its backoff; then neither the ejection nor the backoff changes.
   bool Eject(Micros now, EjectionReason reason, const estimates::TimeScales& scales,
              estimates::Random& random);
-  // Starts a backoff, longer each time until the server answers. It is drawn, so that routers that were
-  // rejected together do not come back together.
+  // Starts a backoff that doubles each time until the server responds. It has random jitter, so that
+  // routers that were rejected together do not retry together.
   void StartBackoff(Micros now, const estimates::TimeScales& scales, estimates::Random& random);
-  // Notes an answer. True where the server was out of reach for longer than `restart_time`, in which it can
-  // have been restarted before the endpoint list says so. Reinstate follows.
+  // Handles a response. Returns true if the server was unreachable for longer than `restart_time`, so that
+  // it may have restarted before the endpoint list shows it. The caller then calls Reinstate.
   bool OnResponse(Micros now, Micros restart_time);
   void Reinstate();
-  // The server was started at `when`: what was seen before does not count.
+  // Handles a restart of the server at `when`: failures from before it no longer count.
   void OnRestart(Micros when);
 
  private:
   bool ejected_ = false;
-  bool unreachable_ = false;  // while ejected, an attempt or a health check found no process
+  bool unreachable_ = false;  // an attempt or a health check could not reach the process while it was ejected
   Micros first_ejected_ = 0;
   Micros last_ejected_ = 0;
   Micros next_attempt_ = 0;
--- a/src/limits/primary_headroom.cpp
+++ b/src/limits/primary_headroom.cpp
@@ -7,21 +7,21 @@
 namespace tulipyoke::limits {
 namespace {
 
-// The share grows by the step with each fast answer and is multiplied by the cut with each slow one. The
-// steps are large, since one of hundreds of routers sees few answers, and balanced so that one slow answer in
-// six is no sign of load.
+// A fast response adds kIncreaseStep to the share, and a slow one multiplies it by kDecreaseFactor. The
+// steps are large because one of hundreds of routers sees few responses, and balanced so that one slow
+// response in six is not treated as load.
 constexpr double kIncreaseStep = 0.1;
 constexpr double kDecreaseFactor = 0.5;
-// Of the reads that would be rejected, all routers together give this share to a primary of which nothing is
-// known.
+// The share of the reads that would otherwise be rejected that all routers together send to a primary
+// without observations.
 constexpr double kInitialShare = 0.5;
 
 }  // namespace
 
 double PrimaryHeadroom::Share(Micros now, Micros decay_time, int router_count) const {
   const double initial = kInitialShare / std::max(router_count, 1);
-  const Micros positive_decay_time = std::max<Micros>(decay_time, 1);
-  return initial + (share_ - initial) * estimates::DecayFactor(now - observed_at_, positive_decay_time);
+  const Micros time_constant = std::max<Micros>(decay_time, 1);
+  return initial + (share_ - initial) * estimates::DecayFactor(now - observed_at_, time_constant);
 }
 
 void PrimaryHeadroom::Observe(Micros now, Micros decay_time, int router_count,
--- a/src/limits/primary_headroom.hpp
+++ b/src/limits/primary_headroom.hpp
@@ -1,4 +1,4 @@
-// The spare capacity of a group's primary, for reads that no replica can serve.
+// Estimates the spare capacity of a group's primary for reads that no replica can serve.
 #ifndef TULIPYOKE_SRC_LIMITS_PRIMARY_HEADROOM_HPP_
 #define TULIPYOKE_SRC_LIMITS_PRIMARY_HEADROOM_HPP_
 
@@ -6,16 +6,18 @@
 
 namespace tulipyoke::limits {
 
-// An answer that is late for its class can be both, and one that says nothing of the load is neither.
+// How a response compares with typical latencies. A response that is late for its class can be both fast
+// and slow; one that gives no information about the load is neither.
 struct PrimaryResponse {
   bool fast = false;
   bool slow = false;
 };
 
-// The share of the otherwise rejected reads that the primary is given.
+// The share of the reads that would otherwise be rejected that may go to the primary.
 class PrimaryHeadroom {
  public:
-  // Where the primary has not answered of late, the initial share is divided among all routers.
+  // Without recent responses from the primary, the share decays to an initial value that is divided among
+  // all routers.
   double Share(Micros now, Micros decay_time, int router_count) const;
   void Observe(Micros now, Micros decay_time, int router_count, const PrimaryResponse& response);
 
--- a/src/limits/retry_detector.cpp
+++ b/src/limits/retry_detector.cpp
@@ -5,7 +5,7 @@
 namespace tulipyoke::limits {
 namespace {
 
-// At most so many in a hundred requests of a class are taken to be retries.
+// At most this percentage of the requests of a class is assumed to be retries.
 constexpr std::size_t kMaxRetryPercent = 75;
 
 }  // namespace
--- a/src/limits/retry_detector.hpp
+++ b/src/limits/retry_detector.hpp
@@ -1,4 +1,4 @@
-// Tells the first attempt of a client from its retries by the time that it states to wait.
+// Distinguishes a client's first attempt from its retries by the remaining time that the request states.
 #ifndef TULIPYOKE_SRC_LIMITS_RETRY_DETECTOR_HPP_
 #define TULIPYOKE_SRC_LIMITS_RETRY_DETECTOR_HPP_
 
@@ -9,17 +9,17 @@
 
 namespace tulipyoke::limits {
 
-// One per request class: what is left of a retry's wait is shorter than the wait of most requests.
+// Kept per request class: a retry has less time left than most requests of its class.
 class RetryDetector {
  public:
-  // Notes a request that is waited for `remaining` more. True where half of its latency objective, or more,
-  // must have passed since its first attempt.
+  // Records a request whose client waits for `remaining` more. Returns true if half of the latency
+  // objective or more must have passed since the client's first attempt.
   bool IsLateRetry(Micros remaining, Micros latency_objective);
 
  private:
   static constexpr std::size_t kRequestHistorySize = 16;
 
-  std::array<Micros, kRequestHistorySize> waits_{};  // of the newest requests
+  std::array<Micros, kRequestHistorySize> waits_{};  // ring buffer of the newest requests
   std::size_t count_ = 0;
 };
 
--- a/src/limits/slow_start_budget.cpp
+++ b/src/limits/slow_start_budget.cpp
@@ -5,9 +5,9 @@
 namespace tulipyoke::limits {
 namespace {
 
-// The part of overload_multiple that a server is sent while it warms up and the warm ones are full. It is
-// measured by what warm servers finish, which are half to three quarters used on most days: two thirds of a
-// multiple of 3 fill the server to what it can do.
+// The part of overload_multiple that may be sent to a server in slow start while the warm servers are full.
+// It applies to the throughput of warm servers, which are half to three quarters utilized on most days, so
+// two thirds of a multiple of 3 fill the server to its capacity.
 constexpr double kOverloadMultipleShare = 2.0 / 3;
 constexpr double kMicrosPerSecond = 1e6;
 
@@ -26,16 +26,16 @@
   return quotas / kMicrosPerSecond / static_cast<double>(std::max<std::size_t>(servers, 1));
 }
 
-// A router that knows nothing may send its even part of one request.
+// A router without observations may send its equal share of one request.
 bool SlowStartBudget::IsWithinBudget(const Settings& settings, Micros now, double cost,
                                      const Server& server) {
   while (!sent_.empty() && now - sent_.front().when > settings.overload_window) sent_.pop_front();
   double used = draw_ * cost;
   for (const SentRequest& sent : sent_) used += sent.cost;
   const double window = server.capacity_share * static_cast<double>(settings.overload_window);
-  const double min_work = std::max(1.0, server.quota_rate * window) / std::max(settings.router_count, 1);
+  const double min_requests = std::max(1.0, server.quota_rate * window) / std::max(settings.router_count, 1);
   const double margin = std::max(1.0, kOverloadMultipleShare * settings.overload_multiple);
-  return used < std::max(margin * server.warm_throughput * window, min_work * cost);
+  return used < std::max(margin * server.warm_throughput * window, min_requests * cost);
 }
 
 }  // namespace tulipyoke::limits
--- a/src/limits/slow_start_budget.hpp
+++ b/src/limits/slow_start_budget.hpp
@@ -1,16 +1,15 @@
-// What one router may send to a server that has just started. All routers together must stay under the limit
-// at which a server that is warming up is overloaded, and none knows of the others. Each takes its part of
-// what a warm server bears, and a part of less than one request is drawn by lot, so that one request each
-// from hundreds of routers does not add up.
+// Limits what one router sends to a server that has just started. All routers together must stay below the
+// load that overloads a server in slow start, and no router knows what the others send. Each router takes
+// its part of the capacity of a warm server. A part of less than one request is granted with that
+// probability, so that single requests from hundreds of routers do not add up.
 //
-// What a warm server bears is known in two ways, and the larger one holds:
-// - By what warm servers finish for this router. That is right where it sees much, but next to nothing where
-//   it sees little or where no warm server is left.
-// - By the settings. The quotas of all tenants are what all servers are meant to bear, so that an even part
-// of
-//   them is the least that one server bears; all routers share that evenly.
-// Both together stay under the limit: two thirds of overload_multiple (3) by the traffic and one by the
-// quotas, which are under the capacity; and each router takes only the larger one.
+// The capacity of a warm server is estimated in two ways, and the larger estimate applies:
+// - From the throughput of warm servers for this router. This is accurate for a router with much traffic,
+//   but close to zero for one with little traffic or without a warm server.
+// - From the settings. The quotas of all tenants are what all servers together are expected to serve, so an
+//   equal share of them is the minimum capacity of one server. All routers divide it equally.
+// The sum of both stays below the overload limit: the traffic adds up to two thirds of overload_multiple
+// (3) and the quotas, which are below the capacity, up to one third. Each router uses only the larger one.
 #ifndef TULIPYOKE_SRC_LIMITS_SLOW_START_BUDGET_HPP_
 #define TULIPYOKE_SRC_LIMITS_SLOW_START_BUDGET_HPP_
 
@@ -21,24 +20,24 @@
 
 namespace tulipyoke::limits {
 
-// The share of its capacity that a server has which started at `started`, as far as the settings promise; 1
-// where the start is unknown (negative).
+// The share of its capacity that a server which started at `started` has at `now` according to the
+// settings; 1 if the start is unknown (negative).
 double CapacityShare(const Settings& settings, Micros started, Micros now);
 
-// Requests per microsecond that one of so many servers is meant to bear from all routers; 0 where no quota is
-// set.
+// The requests per microsecond from all routers that each of `servers` servers is expected to serve,
+// according to the tenants' quotas; 0 if no quota is set.
 double QuotaRatePerServer(const Settings& settings, std::size_t servers);
 
-// The budget for one server.
+// The slow start budget for one server.
 class SlowStartBudget {
  public:
   struct Server {
-    double capacity_share = 1;   // what it has of its capacity
-    double warm_throughput = 0;  // work per microsecond that a warm one finishes for this router
-    double quota_rate = 0;       // requests per microsecond that a warm one is meant to bear from all routers
+    double capacity_share = 1;   // current share of its full capacity
+    double warm_throughput = 0;  // work per microsecond that a warm server finishes for this router
+    double quota_rate = 0;       // requests per microsecond from all routers, by the quotas
   };
-  // Whether one more request of that cost (microseconds of work) may be sent. `draw` gives a number in [0, 1)
-  // and is called once in each window.
+  // Returns whether one more request of this cost (in microseconds of work) may be sent. `draw` returns a
+  // random number in [0, 1) and is called once per window.
   template <typename Draw>
   bool Admits(const Settings& settings, Micros now, double cost, const Server& server, const Draw& draw) {
     if (now >= next_draw_) {
@@ -56,7 +55,7 @@
   };
   bool IsWithinBudget(const Settings& settings, Micros now, double cost, const Server& server);
 
-  std::deque<SentRequest> sent_;  // within the last window
+  std::deque<SentRequest> sent_;  // within the last overload window
   Micros next_draw_ = 0;
   double draw_ = 0;
 };
--- a/src/limits/token_budget.hpp
+++ b/src/limits/token_budget.hpp
@@ -1,4 +1,4 @@
-// A budget that is refilled in small amounts and spent in units (token bucket without a clock).
+// A token bucket without a clock: it is refilled in small amounts by events and spent in units.
 #ifndef TULIPYOKE_SRC_LIMITS_TOKEN_BUDGET_HPP_
 #define TULIPYOKE_SRC_LIMITS_TOKEN_BUDGET_HPP_
 
@@ -11,7 +11,7 @@
   TokenBudget(double initial, double capacity) : tokens_(initial), capacity_(capacity) {}
 
   void Refill(double amount) { tokens_ = std::min(capacity_, tokens_ + amount); }
-  // Spends `cost`; false, and nothing is spent, where that much is not left.
+  // Spends `cost`, or returns false and spends nothing if less than that is left.
   bool TryConsume(double cost) {
     if (tokens_ < cost) return false;
     tokens_ -= cost;
--- a/src/policy/request_router.cpp
+++ b/src/policy/request_router.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "src/endpoints/warm_throughput.hpp"
+#include "src/endpoints/warm_rates.hpp"
 
 namespace tulipyoke::policy {
 namespace {
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -9,7 +9,7 @@
 #include "src/endpoints/list_refresh.hpp"
 #include "src/endpoints/outcome_observer.hpp"
 #include "src/endpoints/routing_context.hpp"
-#include "src/endpoints/warm_throughput.hpp"
+#include "src/endpoints/warm_rates.hpp"
 #include "src/policy/outlier_detection.hpp"
 #include "src/policy/request_router.hpp"
 #include "src/policy/slow_start.hpp"
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -1,6 +1,6 @@
 #include "src/policy/slow_start.hpp"
 
-#include "src/endpoints/warm_throughput.hpp"
+#include "src/endpoints/warm_rates.hpp"
 #include "src/limits/slow_start_budget.hpp"
 
 namespace tulipyoke::policy {
--- a/tests/endpoints/endpoint_table_test.cpp
+++ b/tests/endpoints/endpoint_table_test.cpp
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-#include "src/endpoints/warm_throughput.hpp"
+#include "src/endpoints/warm_rates.hpp"
 #include "tests/endpoints/endpoint_fixture.hpp"
 
 namespace tulipyoke::endpoints {
--- a/tests/endpoints/warm_throughput_test.cpp
+++ b/tests/endpoints/warm_rates_test.cpp
@@ -1,5 +1,5 @@
 // What warm members of a group finish.
-#include "src/endpoints/warm_throughput.hpp"
+#include "src/endpoints/warm_rates.hpp"
 
 #include <gtest/gtest.h>
 
