--- a/tests/endpoints/endpoint_fixture.hpp
+++ b/tests/endpoints/endpoint_fixture.hpp
@@ -1,4 +1,4 @@
-// A test fixture with an endpoint table.
+// A test fixture with an endpoint table and health checks.
 #ifndef TULIPYOKE_TESTS_ENDPOINTS_ENDPOINT_FIXTURE_HPP_
 #define TULIPYOKE_TESTS_ENDPOINTS_ENDPOINT_FIXTURE_HPP_
 
@@ -22,7 +22,7 @@
     EventScope scope{now_, actions_};
     table_.Apply({kind, 1, std::move(entries)}, checks_, scope);
   }
-  static EndpointEntry WithState(ServerId id, ServerState state) {
+  static EndpointEntry EntryWithState(ServerId id, ServerState state) {
     EndpointEntry entry = Ready(id);
     entry.state = state;
     return entry;
--- a/tests/endpoints/endpoint_table_test.cpp
+++ b/tests/endpoints/endpoint_table_test.cpp
@@ -1,4 +1,4 @@
-// Servers and groups as the endpoint list and the observed roles tell them.
+// Tests of the servers and groups known from the endpoint list and from observed roles.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -11,7 +11,7 @@
 
 using EndpointTableTest = EndpointFixture;
 
-TEST_F(EndpointTableTest, AServerThatJoinsIsCheckedAndWarmsUp) {
+TEST_F(EndpointTableTest, NewServerIsCheckedAndStartsSlowly) {
   Apply(EndpointListKind::kCached, {Ready(1, true)});
   EXPECT_TRUE(actions_.empty());
   EXPECT_EQ(table_.At(1).slow_start_from, kNever);
@@ -23,34 +23,35 @@
   EXPECT_FALSE(IsWarm(context_, table_.At(2), now_));
 }
 
-TEST_F(EndpointTableTest, AFullListClosesWhatItLeavesOut) {
+TEST_F(EndpointTableTest, FullListClosesUnlistedServers) {
   Apply(EndpointListKind::kCached, {Ready(1, true), Ready(2), Ready(3)});
-  Apply(EndpointListKind::kFull, {Ready(1, true), WithState(3, ServerState::kDraining)});
+  Apply(EndpointListKind::kFull, {Ready(1, true), EntryWithState(3, ServerState::kDraining)});
   EXPECT_TRUE(table_.At(1).open);
   EXPECT_FALSE(table_.At(2).open);
   EXPECT_FALSE(table_.At(3).open);
   EXPECT_EQ(table_.peak_open_count(), 3u);
-  Apply(EndpointListKind::kDelta, {WithState(9, ServerState::kGone)});
+  Apply(EndpointListKind::kDelta, {EntryWithState(9, ServerState::kGone)});
   EXPECT_EQ(table_.Find(9), nullptr);
 }
 
-TEST_F(EndpointTableTest, AnObservedPrimaryHoldsAgainstAListedOne) {
+TEST_F(EndpointTableTest, ObservedPrimaryOverridesListedPrimary) {
   Apply(EndpointListKind::kCached, {Ready(1, true), Ready(2), Ready(3)});
   EXPECT_EQ(table_.GroupAt(0).primary, 1u);
   table_.ObserveRole(table_.At(3), Role::kPrimary, now_);
   EXPECT_EQ(table_.GroupAt(0).primary, 3u);
-  table_.ObserveRole(table_.At(2), Role::kPrimary, now_ - kSecond);  // from before the switch
+  table_.ObserveRole(table_.At(2), Role::kPrimary, now_ - kSecond);  // older than the observation of server 3
   EXPECT_EQ(table_.GroupAt(0).primary, 3u);
-  table_.ObserveRole(table_.At(3), Role::kReplica, now_ - 1);  // older than what is known
+  table_.ObserveRole(table_.At(3), Role::kReplica, now_ - 1);  // older than the known role
   EXPECT_EQ(table_.GroupAt(0).primary, 3u);
   table_.ObserveRole(table_.At(3), Role::kReplica, now_ + 1);
   EXPECT_EQ(table_.GroupAt(0).primary, 2u);
 }
 
-TEST_F(EndpointTableTest, AGoneServerIsDroppedOnceNothingIsInFlightThere) {
+TEST_F(EndpointTableTest, GoneServerIsRemovedOnceNothingIsInFlight) {
   Apply(EndpointListKind::kCached, {Ready(1), Ready(2)});
   table_.UpdateLastOpenTimes(now_);
-  Apply(EndpointListKind::kDelta, {WithState(1, ServerState::kGone), WithState(2, ServerState::kGone)});
+  Apply(EndpointListKind::kDelta,
+        {EntryWithState(1, ServerState::kGone), EntryWithState(2, ServerState::kGone)});
   table_.At(2).in_flight.Add({.id = 7});
   table_.RemoveGoneServers(now_ + 2 * kSecond);
   EXPECT_NE(table_.Find(1), nullptr);
--- a/tests/endpoints/health_checks_test.cpp
+++ b/tests/endpoints/health_checks_test.cpp
@@ -1,4 +1,4 @@
-// The interval and the budget of health checks.
+// Tests of the interval and the budget of health checks.
 #include "src/endpoints/health_checks.hpp"
 
 #include <gtest/gtest.h>
@@ -10,12 +10,12 @@
 
 using HealthChecksTest = EndpointFixture;
 
-TEST_F(HealthChecksTest, HealthChecksKeepToTheirInterval) {
+TEST_F(HealthChecksTest, ChecksRespectTheInterval) {
   Apply(EndpointListKind::kCached, {Ready(1)});
   Server& server = table_.At(1);
   EventScope scope{now_, actions_};
   checks_.Request(server, 50 * kMs, scope);
-  checks_.Request(server, 0, scope);  // one is in progress
+  checks_.Request(server, 0, scope);  // ignored: a check is in progress
   EXPECT_EQ(actions_.size(), 1u);
   server.health_check.in_progress = false;
   checks_.Request(server, 50 * kMs, scope);
@@ -25,8 +25,8 @@
   EXPECT_EQ(actions_.size(), 2u);
 }
 
-// Guards against hundreds of routers that check all servers at once.
-TEST_F(HealthChecksTest, HealthChecksKeepToTheirBudget) {
+// Guards against hundreds of routers that check all servers at the same time.
+TEST_F(HealthChecksTest, ChecksRespectTheBudget) {
   Apply(EndpointListKind::kCached, {Ready(1)});
   Server& server = table_.At(1);
   EventScope scope{now_, actions_};
@@ -36,13 +36,13 @@
   };
   for (int i = 0; i < 40; ++i) request();
   EXPECT_EQ(actions_.size(), 20u);
-  for (int i = 0; i < 6; ++i) checks_.Refill();  // a fifth of a check each
+  for (int i = 0; i < 6; ++i) checks_.Refill();  // each adds a fifth of a check
   request();
   request();
   EXPECT_EQ(actions_.size(), 21u);
 }
 
-TEST_F(HealthChecksTest, ChecksThatShowNothingNewComeLessOften) {
+TEST_F(HealthChecksTest, IntervalGrowsWhileChecksShowNothingNew) {
   HealthCheckState check;
   checks_.UpdateInterval(check, true);
   EXPECT_EQ(check.interval, 50 * kMs);
--- a/tests/endpoints/list_refresh_test.cpp
+++ b/tests/endpoints/list_refresh_test.cpp
@@ -1,4 +1,4 @@
-// When the endpoint list is asked for anew.
+// Tests of the times at which the endpoint list is requested again.
 #include "src/endpoints/list_refresh.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace tulipyoke::endpoints {
 namespace {
 
-TEST(ListRefresh, AsksAtHalfTheAgeThatAListMayHave) {
+TEST(ListRefresh, RequestsTheListAtHalfItsMaximumAge) {
   Settings settings = TestSettings();
   settings.poll_endpoint_list = true;
   settings.max_list_age = 4 * kSecond;
--- a/tests/endpoints/outcome_observer_test.cpp
+++ b/tests/endpoints/outcome_observer_test.cpp
@@ -1,4 +1,4 @@
-// What outcomes tell of servers.
+// Tests of what is learned about servers from the outcomes of attempts.
 #include "src/endpoints/outcome_observer.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 using OutcomeObserverTest = EndpointFixture;
 
-TEST_F(OutcomeObserverTest, AnOutcomeTellsLatencyAndPosition) {
+TEST_F(OutcomeObserverTest, OutcomeUpdatesLatencyAndPosition) {
   Apply(EndpointListKind::kCached, {Ready(1, true), Ready(2)});
   sessions::ConsistencyTokens tokens;
   OutcomeObserver observer(context_, table_, tokens);
@@ -25,11 +25,11 @@
   EXPECT_GT(server.latency_ratio.At(now_, kSecond), 1.5);
   EXPECT_EQ(server.position.value(), now_ - 5 * kMs);
   EXPECT_EQ(server.role, Role::kReplica);
-  EXPECT_LT(table_.GroupAt(0).admission.AdmittedShare(now_, kSecond), 1);  // it was late
+  EXPECT_LT(table_.GroupAt(0).admission.AdmittedShare(now_, kSecond), 1);  // the response was late
   EXPECT_FALSE(server.concurrency_limit.Admits(1));
 }
 
-TEST_F(OutcomeObserverTest, ACommitIsRecordedForItsSession) {
+TEST_F(OutcomeObserverTest, CommitIsRecordedForItsSession) {
   Apply(EndpointListKind::kCached, {Ready(1, true), Ready(2)});
   sessions::ConsistencyTokens tokens;
   OutcomeObserver observer(context_, table_, tokens);
@@ -38,7 +38,7 @@
   outcome.position_ms = 77;
   observer.ObserveAttempt(table_.At(1), {.id = 1, .class_index = kKeyedWrite, .key = 5}, outcome, now_);
   EXPECT_EQ(tokens.Required(5, 0), 77 * kMs);
-  outcome.position_ms.reset();  // not told: taken to be now
+  outcome.position_ms.reset();  // without a position, the current time is assumed
   observer.ObserveAttempt(table_.At(1), {.id = 2, .class_index = kKeyedWrite, .key = 6}, outcome, now_);
   EXPECT_EQ(tokens.Required(6, 0), now_);
 }
--- a/tests/endpoints/server_test.cpp
+++ b/tests/endpoints/server_test.cpp
@@ -1,4 +1,4 @@
-// What is known of one server.
+// Tests of the state of one server.
 #include "src/endpoints/server.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 using ServerTest = EndpointFixture;
 
-TEST_F(ServerTest, ANewBootTimeForgetsWhatWasLearned) {
+TEST_F(ServerTest, NewBootTimeResetsEstimates) {
   Apply(EndpointListKind::kCached, {Ready(1), Ready(2)});
   Server& server = table_.At(2);
   server.latency_ratio.Observe(now_, context_.scales, 5);
@@ -23,13 +23,13 @@
   EXPECT_EQ(server.slow_start_from, now_ + 1);
 }
 
-TEST_F(ServerTest, AnEjectedServerAdmitsOneTrialAfterACheck) {
+TEST_F(ServerTest, EjectedServerAdmitsOneTrialAfterACheck) {
   Apply(EndpointListKind::kCached, {Ready(1)});
   Server& server = table_.At(1);
   EXPECT_TRUE(server.AdmitsTrial(true));
   server.ejection.Eject(now_, limits::EjectionReason::kSlow, context_.scales, context_.random);
   EXPECT_FALSE(server.AdmitsTrial(true));
-  EXPECT_TRUE(server.AdmitsTrial(false));  // where there are no health checks
+  EXPECT_TRUE(server.AdmitsTrial(false));  // if health checks are not allowed
   server.health_check.succeeded = now_;
   EXPECT_TRUE(server.AdmitsTrial(true));
   server.in_flight.Add({.id = 1, .sent = now_});
--- a/tests/endpoints/warm_rates_test.cpp
+++ b/tests/endpoints/warm_rates_test.cpp
@@ -1,4 +1,4 @@
-// What warm members of a group finish.
+// Tests of the throughput of warm group members.
 #include "src/endpoints/warm_rates.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 using WarmRatesTest = EndpointFixture;
 
-TEST_F(WarmRatesTest, TheWarmRateIsThatOfWarmReplicas) {
+TEST_F(WarmRatesTest, WarmThroughputIsTheMeanOfWarmReplicas) {
   Apply(EndpointListKind::kCached, {Ready(1, true), Ready(2), Ready(3)});
   for (const ServerId id : {1u, 2u, 3u}) {
     table_.At(id).throughput.Add(now_, id * 100 * kMs, context_.scales.throughput_window);
--- a/tests/estimates/decay_test.cpp
+++ b/tests/estimates/decay_test.cpp
@@ -1,4 +1,4 @@
-// Exponential decay.
+// Tests of exponential decay.
 #include "src/estimates/decay.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace tulipyoke::estimates {
 namespace {
 
-TEST(Decay, FallsToAnEthInEachSpan) {
+TEST(Decay, FallsToOneOverEInEachTimeConstant) {
   EXPECT_DOUBLE_EQ(DecayFactor(0, kSecond), 1);
   EXPECT_NEAR(DecayFactor(kSecond, kSecond), 0.3679, 0.0001);
   EXPECT_DOUBLE_EQ(DecayFactor(kSecond, 0), 1);
--- a/tests/estimates/in_flight_test.cpp
+++ b/tests/estimates/in_flight_test.cpp
@@ -1,4 +1,4 @@
-// The attempts in flight at one server.
+// Tests of the attempts in flight at one server.
 #include "src/estimates/in_flight.hpp"
 
 #include <gtest/gtest.h>
@@ -8,22 +8,22 @@
 namespace tulipyoke::estimates {
 namespace {
 
-TEST(InFlightAttempts, AnAttemptIsTakenOnce) {
+TEST(InFlightAttempts, AttemptIsRemovedOnce) {
   InFlightAttempts attempts;
   attempts.Add({.id = 1, .attempt = 0, .sent = 5});
   attempts.Add({.id = 1, .attempt = 1, .sent = 9, .freshness_check = true});
   EXPECT_TRUE(attempts.HasFreshnessCheck());
   EXPECT_TRUE(attempts.HasActiveSentSince(9));
   EXPECT_FALSE(attempts.HasActiveSentSince(10));
-  const auto taken = attempts.Remove(1, 1);
-  ASSERT_TRUE(taken);
-  EXPECT_EQ(taken->sent, 9);
+  const auto removed = attempts.Remove(1, 1);
+  ASSERT_TRUE(removed);
+  EXPECT_EQ(removed->sent, 9);
   EXPECT_FALSE(attempts.Remove(1, 1));
   EXPECT_FALSE(attempts.HasFreshnessCheck());
   EXPECT_EQ(attempts.size(), 1u);
 }
 
-TEST(InFlightAttempts, ACancelledOneIsNoTrial) {
+TEST(InFlightAttempts, CancelledAttemptIsNotActive) {
   InFlightAttempts attempts;
   attempts.Add({.id = 1, .sent = 5, .cancelled = true});
   EXPECT_FALSE(attempts.HasActiveSentSince(5));
--- a/tests/estimates/latency_model_test.cpp
+++ b/tests/estimates/latency_model_test.cpp
@@ -1,4 +1,4 @@
-// Expected response times of classes and servers.
+// Tests of the expected response times of classes and servers.
 #include "src/estimates/latency_model.hpp"
 
 #include <gtest/gtest.h>
@@ -15,13 +15,14 @@
   LatencyModel model_{settings_, scales_};
 };
 
-TEST_F(LatencyModelTest, AClassStartsAtAQuarterOfItsObjective) {
+TEST_F(LatencyModelTest, ClassStartsAtAQuarterOfItsObjective) {
   EXPECT_DOUBLE_EQ(model_.TypicalLatency(kAnyRead), 100 * kMs);
   EXPECT_DOUBLE_EQ(model_.ExpectedLatency(LatencyRatio(), kAnyRead, kSecond), 100 * kMs);
 }
 
-// Guards against a slow server that makes its class look slow: most of the difference is the server's.
-TEST_F(LatencyModelTest, ASlowAnswerIsTheServersMoreThanTheClasses) {
+// Guards against a slow server that makes its class appear slow: most of the difference is attributed to the
+// server.
+TEST_F(LatencyModelTest, SlowResponseIsAttributedToServerMoreThanToClass) {
   LatencyRatio server;
   Micros now = 100 * kSecond;
   for (int i = 0; i < 20; ++i) model_.AddSample(server, kAnyRead, 300 * kMs, now += 10 * kMs);
@@ -29,7 +30,7 @@
   EXPECT_LT(model_.TypicalLatency(kAnyRead), 130 * kMs);
 }
 
-TEST_F(LatencyModelTest, SlownessFadesToTheUsual) {
+TEST_F(LatencyModelTest, LatencyRatioDecaysToOne) {
   LatencyRatio server;
   const Micros now = 100 * kSecond;
   model_.AddSample(server, kAnyRead, 300 * kMs, now);
@@ -37,18 +38,18 @@
   EXPECT_NEAR(server.At(now + 20 * kSecond, scales_.decay_time), 1, 0.001);
 }
 
-// One answer after a silence counts for half, one of many for a tenth.
-TEST_F(LatencyModelTest, AnAnswerAfterASilenceCountsForMore) {
-  LatencyRatio silent;
-  silent.Observe(100 * kSecond, scales_, 3);
-  EXPECT_NEAR(silent.At(100 * kSecond, scales_.decay_time), 2, 0.001);
-  silent.Observe(100 * kSecond, scales_, 3);
-  EXPECT_NEAR(silent.At(100 * kSecond, scales_.decay_time), 2.1, 0.001);
-  silent.Reset();
-  EXPECT_DOUBLE_EQ(silent.At(100 * kSecond, scales_.decay_time), 1);
+// A response after a gap has a weight of one half, a response among many a weight of one tenth.
+TEST_F(LatencyModelTest, ResponseAfterAGapHasMoreWeight) {
+  LatencyRatio ratio;
+  ratio.Observe(100 * kSecond, scales_, 3);
+  EXPECT_NEAR(ratio.At(100 * kSecond, scales_.decay_time), 2, 0.001);
+  ratio.Observe(100 * kSecond, scales_, 3);
+  EXPECT_NEAR(ratio.At(100 * kSecond, scales_.decay_time), 2.1, 0.001);
+  ratio.Reset();
+  EXPECT_DOUBLE_EQ(ratio.At(100 * kSecond, scales_.decay_time), 1);
 }
 
-TEST_F(LatencyModelTest, RemainingWorkFallsWithTheTimeInFlight) {
+TEST_F(LatencyModelTest, RemainingWorkDecreasesWithTimeInFlight) {
   InFlightAttempts attempts;
   const Micros now = 100 * kSecond;
   EXPECT_DOUBLE_EQ(model_.RemainingWork(attempts, LatencyRatio(), now), 0);
--- a/tests/estimates/load_report_test.cpp
+++ b/tests/estimates/load_report_test.cpp
@@ -1,4 +1,4 @@
-// Load reports with fields in any order, and with values that cannot be.
+// Tests of load reports with fields in any order and with impossible values.
 #include "src/estimates/load_report.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
   EXPECT_EQ(report.role, Role::kPrimary);
 }
 
-TEST(LoadReport, WhatIsMissingSaysNothing) {
+TEST(LoadReport, MissingFieldsHaveNoValue) {
   const LoadReportReader reader = ReaderOf({"x0", "x1", "queue", "inflight"});
   EXPECT_TRUE(reader.ReportsQueueLength());
   EXPECT_FALSE(ReaderOf({"x0", "x1"}).ReportsQueueLength());
@@ -34,11 +34,11 @@
   EXPECT_FALSE(report.in_service);
   EXPECT_FALSE(report.position);
   EXPECT_EQ(report.role, Role::kUnknown);
-  EXPECT_FALSE(reader.Read({2.5, 0, 0, 3}).in_service);  // nobody waits
+  EXPECT_FALSE(reader.Read({2.5, 0, 0, 3}).in_service);  // no request waits
 }
 
-// Guards against a replica that is taken for fresh, or for crowded, by a value that cannot be.
-TEST(LoadReport, ImpossibleValuesSayNothing) {
+// Guards against a replica that is considered fresh or overloaded because of an impossible value.
+TEST(LoadReport, ImpossibleValuesAreIgnored) {
   const LoadReportReader reader = ReaderOf({"x0", "x1", "queue", "inflight"});
   for (const double value : {-5.0, 0.0, 1e30, std::numeric_limits<double>::quiet_NaN()}) {
     const LoadReport report = reader.Read({value, 1, -1, 0});
@@ -49,8 +49,8 @@
   EXPECT_FALSE(reader.Read({1, 0, 1e7, 0}).queue_length);
 }
 
-// Guards against a position that a float has rounded up.
-TEST(LoadReport, AFloatIsTakenAsTheOneBelow) {
+// Guards against a position that was rounded up to a float.
+TEST(LoadReport, FloatPositionIsReplacedByTheNextSmallerFloat) {
   const LoadReport report = ReaderOf({"x0"}, true).Read({static_cast<double>(100.7F)});
   EXPECT_LT(report.position, static_cast<Micros>(100.7F * 1e6));
   EXPECT_GT(report.position, 100'699'900);
--- a/tests/estimates/random_test.cpp
+++ b/tests/estimates/random_test.cpp
@@ -1,4 +1,4 @@
-// The pseudo-random generator.
+// Tests of the pseudo-random number generator.
 #include "src/estimates/random.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace tulipyoke::estimates {
 namespace {
 
-TEST(Random, TheSameSeedGivesTheSameNumbers) {
+TEST(Random, SameSeedGivesSameNumbers) {
   Random first(7);
   Random second(7);
   for (int i = 0; i < 100; ++i) {
--- a/tests/estimates/replica_position_test.cpp
+++ b/tests/estimates/replica_position_test.cpp
@@ -1,4 +1,4 @@
-// Replication positions and the rate of applying.
+// Tests of replication positions and the apply rate.
 #include "src/estimates/replica_position.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
   return result;
 }
 
-// Guards against a replica that is taken for fresh by a position that cannot be.
+// Guards against a replica that is considered fresh because of an impossible position.
 TEST(ReplicaPosition, ImpossibleAndOlderPositionsAreIgnored) {
   ReplicaPosition position;
   EXPECT_FALSE(position.known());
@@ -29,7 +29,7 @@
   EXPECT_EQ(position.value(), kNow - 10);
 }
 
-TEST(ReplicaPosition, OnlyAnExactPositionDatesAnEqualOneAnew) {
+TEST(ReplicaPosition, OnlyAnExactPositionUpdatesTheObservationTime) {
   ReplicaPosition position = Observed(kNow, kNow - 10);
   position.Observe(kNow + 5, kNow - 10, PositionKind::kRounded, kNow + 5, kMs);
   EXPECT_EQ(position.observed_at(), kNow);
@@ -37,7 +37,7 @@
   EXPECT_EQ(position.observed_at(), kNow + 5);
 }
 
-TEST(ReplicaPosition, TheWaitFallsAsTimePasses) {
+TEST(ReplicaPosition, PredictedWaitDecreasesAsTimePasses) {
   const ReplicaPosition position = Observed(kNow, kNow - 100 * kMs);
   EXPECT_DOUBLE_EQ(position.PredictedWait(kNow - 100 * kMs, kNow, kDecayTime), 0);
   EXPECT_DOUBLE_EQ(position.PredictedWait(kNow, kNow, kDecayTime), 100 * kMs);
@@ -45,8 +45,8 @@
   EXPECT_DOUBLE_EQ(position.PredictedWait(kNow, kNow + kSecond, kDecayTime), 0);
 }
 
-// Guards against a replica that once stood still and is passed over for ever.
-TEST(ReplicaPosition, ARateThatIsNotConfirmedFadesToOne) {
+// Guards against a replica that once stopped applying and is never selected again.
+TEST(ReplicaPosition, ApplyRateDecaysToOneWithoutObservations) {
   ReplicaPosition position = Observed(kNow, kNow - kSecond);
   const Micros later = kNow + 100 * kMs;
   position.Observe(later, kNow - 950 * kMs, PositionKind::kExact, later, kMs);  // at half the rate
@@ -57,7 +57,7 @@
   EXPECT_DOUBLE_EQ(position.PredictedWait(needed, later, kDecayTime), 100 * kMs);
 }
 
-TEST(ReplicaPosition, TheLagIsThatOfTheObservation) {
+TEST(ReplicaPosition, LagRefersToTheObservationTime) {
   EXPECT_EQ(ReplicaPosition().ObservedLag(0), 0);
   EXPECT_EQ(Observed(kNow, kNow - 30 * kMs).ObservedLag(0), 30 * kMs);
   EXPECT_EQ(Observed(kNow, kNow - 30 * kMs).ObservedLag(10 * kMs), 20 * kMs);
--- a/tests/estimates/throughput_test.cpp
+++ b/tests/estimates/throughput_test.cpp
@@ -1,4 +1,4 @@
-// Finished work, failures, queues and concurrency of servers.
+// Tests of the throughput, failure rate, reported queue and concurrency of servers.
 #include "src/estimates/throughput.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace tulipyoke::estimates {
 namespace {
 
-// A steady load is measured rightly before a whole span has passed.
+// A steady load is measured correctly before a whole time constant has passed.
 TEST(Throughput, MeasuresASteadyLoadFromTheStart) {
   Throughput throughput;
   const Micros start = 100 * kSecond;
@@ -18,21 +18,21 @@
   EXPECT_NEAR(throughput.Rate(now, now - start, 10 * kSecond), 0.5, 0.01);
 }
 
-TEST(FailureRate, GrowsWithFailuresAndFades) {
-  FailureRate share;
+TEST(FailureRate, GrowsWithFailuresAndDecays) {
+  FailureRate rate;
   const Micros now = 100 * kSecond;
-  share.Observe(now, true, kSecond);
-  EXPECT_DOUBLE_EQ(share.At(now, kSecond), 0.2);
-  share.Observe(now, true, kSecond);
-  EXPECT_DOUBLE_EQ(share.At(now, kSecond), 0.36);
-  share.Observe(now, false, kSecond);
-  EXPECT_DOUBLE_EQ(share.At(now, kSecond), 0.288);
-  EXPECT_LT(share.At(now + 10 * kSecond, kSecond), 0.001);
-  share.Reset();
-  EXPECT_DOUBLE_EQ(share.At(now, kSecond), 0);
+  rate.Observe(now, true, kSecond);
+  EXPECT_DOUBLE_EQ(rate.At(now, kSecond), 0.2);
+  rate.Observe(now, true, kSecond);
+  EXPECT_DOUBLE_EQ(rate.At(now, kSecond), 0.36);
+  rate.Observe(now, false, kSecond);
+  EXPECT_DOUBLE_EQ(rate.At(now, kSecond), 0.288);
+  EXPECT_LT(rate.At(now + 10 * kSecond, kSecond), 0.001);
+  rate.Reset();
+  EXPECT_DOUBLE_EQ(rate.At(now, kSecond), 0);
 }
 
-TEST(ReportedQueue, IsWorkedOffFromTheReportOn) {
+TEST(ReportedQueue, RemainingWorkDecreasesAfterTheReport) {
   ReportedQueue queue;
   const Micros now = 100 * kSecond;
   queue.Observe(now, 8);
--- a/tests/estimates/time_scales_test.cpp
+++ b/tests/estimates/time_scales_test.cpp
@@ -1,4 +1,4 @@
-// The time spans that follow from the settings.
+// Tests of the time intervals derived from the settings.
 #include "src/estimates/time_scales.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace tulipyoke::estimates {
 namespace {
 
-TEST(TimeScales, FollowFromTheClasses) {
+TEST(TimeScales, AreDerivedFromTheClasses) {
   const TimeScales scales(Normalized(TestSettings()));
   EXPECT_EQ(scales.housekeeping_interval, 50 * kMs);
   EXPECT_EQ(scales.longest_objective, 400 * kMs);
@@ -19,7 +19,7 @@
   EXPECT_EQ(scales.throughput_window, 10 * kSecond);
 }
 
-// Guards against a division by zero or a timer without a delay where nothing is set.
+// Guards against a division by zero or a timer without a delay when the settings are empty.
 TEST(TimeScales, ArePositiveWithoutSettings) {
   const TimeScales scales(Normalized(Settings{}));
   EXPECT_EQ(scales.housekeeping_interval, 1);
@@ -28,7 +28,7 @@
   EXPECT_EQ(scales.tightest_staleness_bound, kForever);
 }
 
-TEST(TimeScales, AnObjectiveOrADeadlineThatIsMissingIsTheOther) {
+TEST(TimeScales, MissingObjectiveOrDeadlineDefaultsToTheOther) {
   Settings settings;
   settings.classes.resize(2);
   settings.classes[0].latency_objective = 5;
--- a/tests/limits/admission_control_test.cpp
+++ b/tests/limits/admission_control_test.cpp
@@ -1,4 +1,4 @@
-// The share of reads that is admitted.
+// Tests of the admitted share of reads.
 #include "src/limits/admission_control.hpp"
 
 #include <gtest/gtest.h>
@@ -12,8 +12,8 @@
   int first_attempts = 0;
   int retries = 0;
 };
-// Of 1000 reads, every other one a retry, evenly over all draws.
-Admitted AdmittedOf(AdmissionControl& control, Micros now) {
+// Counts the admitted reads among 1000, of which every other one is a retry, with evenly spaced draws.
+Admitted CountAdmitted(AdmissionControl& control, Micros now) {
   Admitted admitted;
   for (int i = 0; i < 1000; ++i) {
     const bool late = i % 2 == 1;
@@ -23,21 +23,21 @@
   return admitted;
 }
 
-// Guards against an overloaded group that rejects first attempts and admits the same reads later, for little
-// or nothing.
-TEST(AdmissionControl, RetriesMakeWayForFirstAttempts) {
+// Guards against an overloaded group that rejects first attempts and admits their retries, whose responses
+// are worth little or nothing.
+TEST(AdmissionControl, RejectsRetriesBeforeFirstAttempts) {
   AdmissionControl control;
   const Micros now = 100 * kSecond;
-  EXPECT_EQ(AdmittedOf(control, now).retries, 500);
+  EXPECT_EQ(CountAdmitted(control, now).retries, 500);
   while (control.AdmittedShare(now, 2 * kSecond) > 0.5) control.Observe(now, 2 * kSecond, 50 * kMs, false);
-  const Admitted admitted = AdmittedOf(control, now);
+  const Admitted admitted = CountAdmitted(control, now);
   EXPECT_GT(admitted.first_attempts, 400);
   EXPECT_LT(admitted.retries, 50);
 }
 
-// Guards against a router that sees an answer a second and rejects most reads for one late answer in ten,
-// as many as come without overload.
-TEST(AdmissionControl, OneLateAnswerAfterASilenceRejectsFew) {
+// Guards against a router that sees one response per second and rejects most reads because one response in
+// ten is late, which is normal without overload.
+TEST(AdmissionControl, OneLateResponseAfterAGapRejectsFewReads) {
   AdmissionControl control;
   Micros now = 100 * kSecond;
   double rejected = 0;
--- a/tests/limits/ejection_test.cpp
+++ b/tests/limits/ejection_test.cpp
@@ -1,4 +1,4 @@
-// Ejection of outliers and backoff.
+// Tests of the ejection of outliers and of the backoff.
 #include "src/limits/ejection.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
   const Micros now_ = 100 * kSecond;
 };
 
-TEST_F(EjectionTest, AFailureEjectsAndBacksOff) {
+TEST_F(EjectionTest, FailureEjectsAndStartsBackoff) {
   EXPECT_FALSE(ejection_.ejected());
   EXPECT_TRUE(Eject(now_));
   EXPECT_TRUE(ejection_.ejected());
@@ -28,8 +28,9 @@
   EXPECT_FALSE(ejection_.InBackoff(now_ + 75 * kMs));
 }
 
-// Guards against failures of attempts sent before that put the next trial off again and again.
-TEST_F(EjectionTest, OnlyAFailedTrialRenewsIt) {
+// Guards against a trial that is postponed again and again by the failures of attempts sent before the
+// ejection.
+TEST_F(EjectionTest, OnlyAFailedTrialRenewsTheEjection) {
   Eject(now_);
   EXPECT_FALSE(Eject(now_ + kMs));
   EXPECT_EQ(ejection_.last_ejected(), now_);
@@ -50,7 +51,7 @@
   EXPECT_EQ(ejection_.backoff(), 0);
 }
 
-TEST_F(EjectionTest, ALongUnreachableServerMayHaveBeenRestarted) {
+TEST_F(EjectionTest, ServerUnreachableForLongMayHaveRestarted) {
   Eject(now_, EjectionReason::kUnreachable);
   EXPECT_FALSE(ejection_.OnResponse(now_ + kSecond, kSecond));
   EXPECT_TRUE(ejection_.OnResponse(now_ + kSecond + 1, kSecond));
@@ -60,7 +61,7 @@
   EXPECT_FALSE(ejection_.OnResponse(now_ + 9 * kSecond, kSecond));
 }
 
-TEST_F(EjectionTest, ARestartAfterTheFailureReinstates) {
+TEST_F(EjectionTest, RestartAfterTheFailureReinstates) {
   Eject(now_);
   ejection_.OnRestart(now_ - kSecond);
   EXPECT_TRUE(ejection_.ejected());
--- a/tests/limits/primary_headroom_test.cpp
+++ b/tests/limits/primary_headroom_test.cpp
@@ -1,4 +1,4 @@
-// The spare capacity of a primary.
+// Tests of the estimate of a primary's spare capacity.
 #include "src/limits/primary_headroom.hpp"
 
 #include <gtest/gtest.h>
@@ -11,13 +11,13 @@
 constexpr Micros kNow = 100 * kSecond;
 constexpr Micros kDecayTime = 2 * kSecond;
 
-TEST(PrimaryHeadroomShare, StartsAtThePartOfOneRouter) {
+TEST(PrimaryHeadroomShare, InitialShareIsDividedAmongRouters) {
   const PrimaryHeadroom headroom;
   EXPECT_NEAR(headroom.Share(kNow, kDecayTime, 1), 0.5, 1e-9);
   EXPECT_NEAR(headroom.Share(kNow, kDecayTime, 100), 0.005, 1e-9);
 }
 
-TEST(PrimaryHeadroomShare, GrowsWithQuickAnswersAndIsHalvedByASlowOne) {
+TEST(PrimaryHeadroomShare, GrowsWithFastResponsesAndIsHalvedByASlowOne) {
   PrimaryHeadroom headroom;
   headroom.Observe(kNow, kDecayTime, 1, {.fast = true, .slow = false});
   EXPECT_NEAR(headroom.Share(kNow, kDecayTime, 1), 0.6, 1e-9);
--- a/tests/limits/retry_detector_test.cpp
+++ b/tests/limits/retry_detector_test.cpp
@@ -1,4 +1,4 @@
-// Telling retries from first attempts.
+// Tests of the distinction between retries and first attempts.
 #include "src/limits/retry_detector.hpp"
 
 #include <gtest/gtest.h>
@@ -8,13 +8,12 @@
 namespace tulipyoke::limits {
 namespace {
 
-// A client's retry is known by the shorter wait that it has left. Where all clients are impatient alike,
-// none is late.
-TEST(RetryDetector, AShorterWaitThanMostHaveTellsARetry) {
-  RetryDetector seen;
+// A retry is detected by its shorter remaining wait. If all clients wait equally short, none is a late retry.
+TEST(RetryDetector, RequestWithLessTimeLeftThanMostIsARetry) {
+  RetryDetector mixed;
   for (int i = 0; i < 40; ++i) {
     const bool retry = i % 5 < 2;  // two in five
-    const bool late = seen.IsLateRetry(retry ? 500 * kMs : 820 * kMs, 400 * kMs);
+    const bool late = mixed.IsLateRetry(retry ? 500 * kMs : 820 * kMs, 400 * kMs);
     if (i >= 4) {
       EXPECT_EQ(late, retry) << i;
     }
--- a/tests/limits/slow_start_budget_test.cpp
+++ b/tests/limits/slow_start_budget_test.cpp
@@ -1,4 +1,4 @@
-// What a server that warms up is sent.
+// Tests of the budget of a server in slow start.
 #include "src/limits/slow_start_budget.hpp"
 
 #include <gtest/gtest.h>
@@ -11,14 +11,14 @@
 constexpr Micros kNow = 100 * kSecond;
 
 TEST(SlowStartBudget, CapacityGrowsOverTheWindow) {
-  const Settings settings = TestSettings();  // a fifth at first, all after 10 s
+  const Settings settings = TestSettings();  // a fifth of the capacity at first, all of it after 10 s
   EXPECT_DOUBLE_EQ(CapacityShare(settings, kNow, kNow), 0.2);
   EXPECT_DOUBLE_EQ(CapacityShare(settings, kNow, kNow + 5 * kSecond), 0.6);
   EXPECT_DOUBLE_EQ(CapacityShare(settings, kNow, kNow + 50 * kSecond), 1);
   EXPECT_DOUBLE_EQ(CapacityShare(settings, -1, kNow), 1);
 }
 
-TEST(SlowStartBudget, TheQuotasAreSharedEvenlyByTheServers) {
+TEST(SlowStartBudget, QuotasAreDividedEvenlyAmongServers) {
   Settings settings = TestSettings();
   EXPECT_DOUBLE_EQ(QuotaRatePerServer(settings, 4), 0);
   settings.tenants = {{"first", 300, 0.5}, {"second", 100, 0.5}};
@@ -26,25 +26,26 @@
   EXPECT_DOUBLE_EQ(QuotaRatePerServer(settings, 0), 400e-6);
 }
 
-TEST(SlowStartBudget, TheBudgetIsThatOfOneWindow) {
-  Settings settings = TestSettings();  // overloaded by twice its share within a second
+TEST(SlowStartBudget, BudgetCoversOneWindow) {
+  Settings settings = TestSettings();  // twice its capacity within a second overloads it
   settings.router_count = 1;
   SlowStartBudget budget;
-  // A warm server finishes half of the time's work for this router; a fifth of that, times 4/3, is 133 ms.
+  // A warm server spends half of its time on this router's work. A fifth of half a second, times 4/3, is 133
+  // ms.
   const SlowStartBudget::Server server{.capacity_share = 0.2, .warm_throughput = 0.5, .quota_rate = 0};
-  const auto none = [] { return 0.0; };
+  const auto zero_draw = [] { return 0.0; };
   int sent = 0;
-  while (sent < 100 && budget.Admits(settings, kNow, 20 * kMs, server, none)) {
+  while (sent < 100 && budget.Admits(settings, kNow, 20 * kMs, server, zero_draw)) {
     budget.Spend(kNow, 20 * kMs);
     ++sent;
   }
   EXPECT_EQ(sent, 7);
-  EXPECT_FALSE(budget.Admits(settings, kNow + kSecond, 20 * kMs, server, none));
-  EXPECT_TRUE(budget.Admits(settings, kNow + kSecond + 1, 20 * kMs, server, none));
+  EXPECT_FALSE(budget.Admits(settings, kNow + kSecond, 20 * kMs, server, zero_draw));
+  EXPECT_TRUE(budget.Admits(settings, kNow + kSecond + 1, 20 * kMs, server, zero_draw));
 }
 
-// Of many routers that know nothing, as many as the even part says may send one.
-TEST(SlowStartBudget, APartOfOneRequestIsDrawn) {
+// Among many routers without observations, only as many may send a request as their total share allows.
+TEST(SlowStartBudget, FractionOfARequestIsGrantedAtRandom) {
   Settings settings = TestSettings();
   settings.router_count = 200;
   const SlowStartBudget::Server server{.capacity_share = 0.2, .warm_throughput = 0, .quota_rate = 0};
--- a/tests/limits/token_budget_test.cpp
+++ b/tests/limits/token_budget_test.cpp
@@ -1,4 +1,4 @@
-// Budgets that are refilled in small amounts.
+// Tests of the token bucket.
 #include "src/limits/token_budget.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace tulipyoke::limits {
 namespace {
 
-TEST(TokenBudget, SpendsNoMoreThanItHas) {
+TEST(TokenBudget, NeverSpendsMoreThanItHolds) {
   TokenBudget budget(1, 2);
   EXPECT_TRUE(budget.TryConsume(1));
   EXPECT_FALSE(budget.TryConsume(0.5));
