--- a/src/endpoints/endpoint_table.cpp
+++ b/src/endpoints/endpoint_table.cpp
@@ -27,8 +27,8 @@
 void EndpointTable::CloseUnlisted(const EndpointListUpdate& update) {
   if (context_.settings.only_draining_binds) return;
   for (auto& [id, server] : servers_) {
-    const auto is_entry = [&, key = id](const EndpointEntry& entry) { return entry.server == key; };
-    if (std::none_of(update.entries.begin(), update.entries.end(), is_entry)) server.open = false;
+    const auto is_listed = [&, key = id](const EndpointEntry& entry) { return entry.server == key; };
+    if (std::none_of(update.entries.begin(), update.entries.end(), is_listed)) server.open = false;
   }
 }
 
--- a/src/endpoints/outcome_observer.cpp
+++ b/src/endpoints/outcome_observer.cpp
@@ -104,9 +104,9 @@
   // A position is never later than its report, so it is used as the time of the role. For a primary it is
   // exact.
   table_.ObserveRole(server, values.role, *values.position + context_.settings.position_epoch);
-  const Micros before = server.position.value();
+  const Micros previous = server.position.value();
   ObservePosition(server, *values.position, PositionKind::kRounded, now);
-  return server.position.value() > before;
+  return server.position.value() > previous;
 }
 
 void OutcomeObserver::ObservePosition(Server& server, Micros position, PositionKind kind, Micros now) {
--- a/src/endpoints/routing_context.cpp
+++ b/src/endpoints/routing_context.cpp
@@ -2,8 +2,8 @@
 
 namespace tulipyoke::endpoints {
 
-RoutingContext::RoutingContext(const Settings& given, std::uint64_t seed)
-    : settings(estimates::Normalized(given)),
+RoutingContext::RoutingContext(const Settings& raw_settings, std::uint64_t seed)
+    : settings(estimates::Normalized(raw_settings)),
       scales(settings),
       report_reader(settings),
       random(seed),
--- a/src/endpoints/routing_context.hpp
+++ b/src/endpoints/routing_context.hpp
@@ -16,7 +16,7 @@
 
 // Owned by the Router; its components keep references to it.
 struct RoutingContext {
-  RoutingContext(const Settings& given, std::uint64_t seed);
+  RoutingContext(const Settings& raw_settings, std::uint64_t seed);
   RoutingContext(const RoutingContext&) = delete;
   RoutingContext& operator=(const RoutingContext&) = delete;
 
--- a/src/estimates/latency_model.cpp
+++ b/src/estimates/latency_model.cpp
@@ -21,10 +21,10 @@
 }
 
 void LatencyRatio::Observe(Micros now, const TimeScales& scales, double ratio) {
-  const double before = At(now, scales.decay_time);
+  const double previous = At(now, scales.decay_time);
   const double observation_gap = 1 - DecayFactor(now - observed_at_, scales.longest_objective);
   const double weight = std::max(kSmoothing, kMaxWeightAfterGap * observation_gap);
-  value_ = before + weight * (ratio - before);
+  value_ = previous + weight * (ratio - previous);
   observed_at_ = now;
 }
 
--- a/src/estimates/load_report.cpp
+++ b/src/estimates/load_report.cpp
@@ -39,8 +39,8 @@
   const double seconds = ValueAt(report, position_);
   if (!(seconds > 0 && seconds < kMaxPositionSeconds)) return result;
   // A float may have been rounded up, so the next smaller value is used.
-  const double below = rounded_floats_ ? std::nextafter(static_cast<float>(seconds), 0.0F) : seconds;
-  result.position = static_cast<Micros>(below * kMicrosPerSecond);
+  const double rounded_down = rounded_floats_ ? std::nextafter(static_cast<float>(seconds), 0.0F) : seconds;
+  result.position = static_cast<Micros>(rounded_down * kMicrosPerSecond);
   const double role = ValueAt(report, role_);
   if (role == kPrimary) result.role = Role::kPrimary;
   if (role == kReplica) result.role = Role::kReplica;
--- a/src/estimates/replica_position.cpp
+++ b/src/estimates/replica_position.cpp
@@ -15,9 +15,9 @@
 
 }  // namespace
 
-void ReplicaPosition::Observe(Micros now, Micros position, PositionKind kind, Micros present,
+void ReplicaPosition::Observe(Micros now, Micros position, PositionKind kind, Micros lag_free_position,
                               Micros resolution) {
-  if (position < 0 || position > present) return;
+  if (position < 0 || position > lag_free_position) return;
   if (position < position_) return;
   if (position == position_ && kind == PositionKind::kRounded) return;
   const Micros span = now - rate_observed_;
@@ -35,8 +35,8 @@
 
 double ReplicaPosition::PredictedWait(Micros needed, Micros now, Micros decay_time) const {
   if (needed <= position_) return 0;
-  const double whole = static_cast<double>(needed - position_) / Rate(now, decay_time);
-  return std::max(0.0, whole - static_cast<double>(now - observed_at_));
+  const double total_wait = static_cast<double>(needed - position_) / Rate(now, decay_time);
+  return std::max(0.0, total_wait - static_cast<double>(now - observed_at_));
 }
 
 Micros ReplicaPosition::ObservedLag(Micros position_epoch) const {
--- a/src/estimates/replica_position.hpp
+++ b/src/estimates/replica_position.hpp
@@ -18,9 +18,9 @@
 
 class ReplicaPosition {
  public:
-  // Records a position. It is ignored if it is later than `present`, the position of a server without lag,
+  // Records a position. It is ignored if it is later than `lag_free_position`, that of a server without lag,
   // or older than the known one. `resolution` is the clock resolution.
-  void Observe(Micros now, Micros position, PositionKind kind, Micros present, Micros resolution);
+  void Observe(Micros now, Micros position, PositionKind kind, Micros lag_free_position, Micros resolution);
   // Resets the apply rate to 1 after a restart of the server.
   void ResetApplyRate() { rate_ = 1; }
 
--- a/src/estimates/throughput.cpp
+++ b/src/estimates/throughput.cpp
@@ -19,8 +19,8 @@
 }
 
 double Throughput::Rate(Micros now, Micros observed_for, Micros time_constant) const {
-  const double counted = 1 - DecayFactor(observed_for, time_constant);
-  return RatioOrZero(rate_ * DecayFactor(now - updated_, time_constant), counted);
+  const double observed_weight = 1 - DecayFactor(observed_for, time_constant);
+  return RatioOrZero(rate_ * DecayFactor(now - updated_, time_constant), observed_weight);
 }
 
 double FailureRate::At(Micros now, Micros decay_time) const {
@@ -28,8 +28,8 @@
 }
 
 void FailureRate::Observe(Micros now, bool failed, Micros decay_time) {
-  const double before = At(now, decay_time);
-  share_ = before + kFailureWeight * ((failed ? 1 : 0) - before);
+  const double previous = At(now, decay_time);
+  share_ = previous + kFailureWeight * ((failed ? 1 : 0) - previous);
   observed_at_ = now;
 }
 
--- a/src/limits/admission_control.cpp
+++ b/src/limits/admission_control.cpp
@@ -29,21 +29,21 @@
   const double observation_gap =
       static_cast<double>(now - observed_at_) / static_cast<double>(std::max<Micros>(interval, 1));
   const double weight = std::clamp(observation_gap, 1.0, kMaxSampleWeight);
-  const double before = AdmittedShare(now, decay_time);
-  admitted_share_ = in_time ? std::min(1.0, before + weight * kIncreaseStep)
-                            : std::max(kMinAdmittedShare, before * std::pow(kDecreaseFactor, weight));
+  const double previous = AdmittedShare(now, decay_time);
+  admitted_share_ = in_time ? std::min(1.0, previous + weight * kIncreaseStep)
+                            : std::max(kMinAdmittedShare, previous * std::pow(kDecreaseFactor, weight));
   observed_at_ = now;
 }
 
 bool AdmissionControl::ShouldReject(Micros now, Micros decay_time, double priority, double draw) {
   priorities_[read_count_++ % priorities_.size()] = priority;
-  const std::size_t known = std::min(read_count_, priorities_.size());
+  const std::size_t sample_count = std::min(read_count_, priorities_.size());
   double ranked_ahead = 0;  // how many of the newest reads have precedence over this one
-  for (std::size_t i = 0; i < known; ++i) {
+  for (std::size_t i = 0; i < sample_count; ++i) {
     if (priorities_[i] > priority) ranked_ahead += 1;
     if (priorities_[i] == priority) ranked_ahead += draw;
   }
-  return ranked_ahead / static_cast<double>(known) >= AdmittedShare(now, decay_time);
+  return ranked_ahead / static_cast<double>(sample_count) >= AdmittedShare(now, decay_time);
 }
 
 }  // namespace tulipyoke::limits
--- a/src/limits/concurrency_limit.hpp
+++ b/src/limits/concurrency_limit.hpp
@@ -24,13 +24,13 @@
   // Handles a response in time. As many responses as the current limit raise the limit by one.
   void Increase() { limit_ += 1 / std::max(limit_, 1.0); }
   // Removes the limit after a restart of the server.
-  void Reset() { limit_ = kNone; }
+  void Reset() { limit_ = kUnlimited; }
 
  private:
-  static constexpr double kNone = 1e9;
+  static constexpr double kUnlimited = 1e9;
   static constexpr double kDecreaseFactor = 0.8;
 
-  double limit_ = kNone;
+  double limit_ = kUnlimited;
   Micros next_cut_ = 0;
 };
 
--- a/src/limits/ejection.cpp
+++ b/src/limits/ejection.cpp
@@ -23,9 +23,9 @@
 }
 
 void Ejection::StartBackoff(Micros now, const estimates::TimeScales& scales, estimates::Random& random) {
-  const auto longer = static_cast<Micros>(kBackoffFactor * static_cast<double>(backoff_));
+  const auto doubled = static_cast<Micros>(kBackoffFactor * static_cast<double>(backoff_));
   const Micros longest = std::max(scales.housekeeping_interval, scales.longest_objective);
-  backoff_ = std::clamp(longer, scales.housekeeping_interval, longest);
+  backoff_ = std::clamp(doubled, scales.housekeeping_interval, longest);
   const double jitter = kMinJitter + random.NextDouble();
   next_attempt_ = now + static_cast<Micros>(jitter * static_cast<double>(backoff_));
 }
--- a/src/limits/retry_detector.cpp
+++ b/src/limits/retry_detector.cpp
@@ -13,11 +13,12 @@
 bool RetryDetector::IsLateRetry(Micros remaining, Micros latency_objective) {
   waits_[count_++ % waits_.size()] = remaining;
   std::array<Micros, kRequestHistorySize> sorted = waits_;
-  const std::size_t known = std::min(count_, waits_.size());
-  const auto index = static_cast<std::ptrdiff_t>((known - 1) * kMaxRetryPercent / 100);
-  const auto first_attempt = sorted.begin() + index;
-  std::nth_element(sorted.begin(), first_attempt, sorted.begin() + static_cast<std::ptrdiff_t>(known));
-  return remaining + latency_objective / 2 < *first_attempt;
+  const std::size_t sample_count = std::min(count_, waits_.size());
+  const auto index = static_cast<std::ptrdiff_t>((sample_count - 1) * kMaxRetryPercent / 100);
+  const auto first_attempt_wait = sorted.begin() + index;
+  std::nth_element(sorted.begin(), first_attempt_wait,
+                   sorted.begin() + static_cast<std::ptrdiff_t>(sample_count));
+  return remaining + latency_objective / 2 < *first_attempt_wait;
 }
 
 }  // namespace tulipyoke::limits
--- a/src/limits/slow_start_budget.cpp
+++ b/src/limits/slow_start_budget.cpp
@@ -16,8 +16,8 @@
 double CapacityShare(const Settings& settings, Micros started, Micros now) {
   if (started < 0 || settings.slow_start_window <= 0) return 1;
   const double age = static_cast<double>(now - started) / static_cast<double>(settings.slow_start_window);
-  const double first = settings.slow_start_fraction;
-  return std::clamp(first + (1 - first) * age, 0.0, 1.0);
+  const double initial = settings.slow_start_fraction;
+  return std::clamp(initial + (1 - initial) * age, 0.0, 1.0);
 }
 
 double QuotaRatePerServer(const Settings& settings, std::size_t servers) {
