--- a/tests/limits/retry_detector_test.cpp
+++ b/tests/limits/retry_detector_test.cpp
@@ -8,7 +8,8 @@
 namespace tulipyoke::limits {
 namespace {
 
-// A retry is detected by its shorter remaining wait. If all clients wait equally short, none is a late retry.
+// A retry is detected by its shorter remaining wait. If all clients have the same short wait, none is a late
+// retry.
 TEST(RetryDetector, RequestWithLessTimeLeftThanMostIsARetry) {
   RetryDetector mixed;
   for (int i = 0; i < 40; ++i) {
--- a/tests/limits/slow_start_budget_test.cpp
+++ b/tests/limits/slow_start_budget_test.cpp
@@ -30,8 +30,7 @@
   Settings settings = TestSettings();  // twice its capacity within a second overloads it
   settings.router_count = 1;
   SlowStartBudget budget;
-  // A warm server spends half of its time on this router's work. A fifth of half a second, times 4/3, is 133
-  // ms.
+  // A warm server spends half of its time on this router's work. A fifth of that, times 4/3, is 133 ms.
   const SlowStartBudget::Server server{.capacity_share = 0.2, .warm_throughput = 0.5, .quota_rate = 0};
   const auto zero_draw = [] { return 0.0; };
   int sent = 0;
