--- a/src/endpoints/warm_rates.cpp
+++ b/src/endpoints/warm_rates.cpp
@@ -9,11 +9,12 @@
 namespace {
 
 double FinishedWorkRate(const RoutingContext& context, const Server& server, Micros now) {
-  const Micros known_for = std::max(now - server.known_since, context.settings.overload_window);
-  return server.throughput.Rate(now, known_for, context.scales.work_span);
+  const Micros observed_for = std::max(now - server.known_since, context.settings.overload_window);
+  return server.throughput.Rate(now, observed_for, context.scales.throughput_window);
 }
 
-void UpdateWarmRate(const RoutingContext& context, const EndpointTable& table, Group& group, Micros now) {
+void UpdateWarmThroughput(const RoutingContext& context, const EndpointTable& table, Group& group,
+                          Micros now) {
   double sum = 0;
   int count = 0;
   for (const ServerId id : group.members) {
@@ -23,10 +24,11 @@
     sum += FinishedWorkRate(context, server, now);
     ++count;
   }
-  const double check_interval = static_cast<double>(context.scales.check_interval);
-  const double work_span = static_cast<double>(context.scales.work_span);
-  const double kept = group.warm_rate * (1 - estimates::RatioOrZero(check_interval, work_span));
-  if (count > 0) group.warm_rate = std::max(kept, sum / count);
+  const double housekeeping_interval = static_cast<double>(context.scales.housekeeping_interval);
+  const double throughput_window = static_cast<double>(context.scales.throughput_window);
+  const double kept =
+      group.warm_throughput * (1 - estimates::RatioOrZero(housekeeping_interval, throughput_window));
+  if (count > 0) group.warm_throughput = std::max(kept, sum / count);
 }
 
 }  // namespace
@@ -35,8 +37,8 @@
   return limits::CapacityShare(context.settings, server.slow_start_from, now) >= 1;
 }
 
-void UpdateWarmRates(const RoutingContext& context, EndpointTable& table, Micros now) {
-  for (auto& [number, group] : table.groups()) UpdateWarmRate(context, table, group, now);
+void UpdateWarmThroughputs(const RoutingContext& context, EndpointTable& table, Micros now) {
+  for (auto& [number, group] : table.groups()) UpdateWarmThroughput(context, table, group, now);
 }
 
 }  // namespace tulipyoke::endpoints
--- a/src/endpoints/warm_rates.hpp
+++ b/src/endpoints/warm_rates.hpp
@@ -1,4 +1,4 @@
-// What a warm member of each group finishes for this router: the measure for members that warm up.
+// The throughput of a warm member of each group for this router, used to limit members in slow start.
 #ifndef TULIPYOKE_SRC_ENDPOINTS_WARM_RATES_HPP_
 #define TULIPYOKE_SRC_ENDPOINTS_WARM_RATES_HPP_
 
@@ -7,14 +7,14 @@
 
 namespace tulipyoke::endpoints {
 
-// Whether the server has all of its capacity, as far as the settings promise.
+// Returns whether the server has its full capacity according to the settings.
 bool IsWarm(const RoutingContext& context, const Server& server, Micros now);
 
-// Updates Group::warm_rate of all groups. What was seen is kept while no warm member is left, since servers
-// may be replaced faster than they warm up. It fades over a warm-up: warm members finish less where they are
-// overloaded or fail, though they could do more. A primary's few writes say little of what another server can
-// bear.
-void UpdateWarmRates(const RoutingContext& context, EndpointTable& table, Micros now);
+// Updates Group::warm_throughput of all groups. The last value is kept while no member is warm, because
+// servers may be replaced faster than they warm up. Otherwise it falls only gradually, over a slow start:
+// warm members finish less while they are overloaded or fail, although they have more capacity. The primary
+// is not counted, because its few writes say little about the capacity of other servers.
+void UpdateWarmThroughputs(const RoutingContext& context, EndpointTable& table, Micros now);
 
 }  // namespace tulipyoke::endpoints
 
--- a/src/estimates/throughput.cpp
+++ b/src/estimates/throughput.cpp
@@ -7,40 +7,40 @@
 namespace tulipyoke::estimates {
 namespace {
 
-// Weight of a new outcome in the share of attempts that fail.
+// The weight of a new outcome in the failure rate.
 constexpr double kFailureWeight = 0.2;
 
 }  // namespace
 
-void Throughput::Add(Micros now, double work, Micros span) {
-  rate_ *= Decay(now - updated_, span);
-  rate_ += work / static_cast<double>(span);
+void Throughput::Add(Micros now, double work, Micros time_constant) {
+  rate_ *= DecayFactor(now - updated_, time_constant);
+  rate_ += work / static_cast<double>(time_constant);
   updated_ = now;
 }
 
-double Throughput::Rate(Micros now, Micros known_for, Micros span) const {
-  const double counted = 1 - Decay(known_for, span);
-  return RatioOrZero(rate_ * Decay(now - updated_, span), counted);
+double Throughput::Rate(Micros now, Micros observed_for, Micros time_constant) const {
+  const double observed_weight = 1 - DecayFactor(observed_for, time_constant);
+  return RatioOrZero(rate_ * DecayFactor(now - updated_, time_constant), observed_weight);
 }
 
-double FailureShare::At(Micros now, Micros fade_span) const {
-  return share_ * Decay(now - observed_, fade_span);
+double FailureRate::At(Micros now, Micros decay_time) const {
+  return share_ * DecayFactor(now - observed_at_, decay_time);
 }
 
-void FailureShare::Observe(Micros now, bool failed, Micros fade_span) {
-  const double before = At(now, fade_span);
-  share_ = before + kFailureWeight * ((failed ? 1 : 0) - before);
-  observed_ = now;
+void FailureRate::Observe(Micros now, bool failed, Micros decay_time) {
+  const double previous = At(now, decay_time);
+  share_ = previous + kFailureWeight * ((failed ? 1 : 0) - previous);
+  observed_at_ = now;
 }
 
 void ReportedQueue::Observe(Micros now, double length) {
   length_ = length;
-  observed_ = now;
+  observed_at_ = now;
 }
 
 double ReportedQueue::RemainingWork(Micros now, double concurrency, double expected) const {
   const double work = length_ / concurrency * expected;
-  return std::max(0.0, work - static_cast<double>(now - observed_));
+  return std::max(0.0, work - static_cast<double>(now - observed_at_));
 }
 
 void ServiceConcurrency::Observe(double in_service) {
--- a/src/limits/token_budget.hpp
+++ b/src/limits/token_budget.hpp
@@ -1,4 +1,4 @@
-// A budget that is refilled in small amounts and spent in units (token bucket without a clock).
+// A token bucket without a clock: it is refilled in small amounts by events and spent in units.
 #ifndef TULIPYOKE_SRC_LIMITS_TOKEN_BUDGET_HPP_
 #define TULIPYOKE_SRC_LIMITS_TOKEN_BUDGET_HPP_
 
@@ -8,11 +8,11 @@
 
 class TokenBudget {
  public:
-  TokenBudget(double initial, double most) : tokens_(initial), most_(most) {}
+  TokenBudget(double initial, double capacity) : tokens_(initial), capacity_(capacity) {}
 
-  void Refill(double amount) { tokens_ = std::min(most_, tokens_ + amount); }
-  // Spends `cost`; false, and nothing is spent, where that much is not left.
-  bool TryTake(double cost) {
+  void Refill(double amount) { tokens_ = std::min(capacity_, tokens_ + amount); }
+  // Spends `cost`, or returns false and spends nothing if less than that is left.
+  bool TryConsume(double cost) {
     if (tokens_ < cost) return false;
     tokens_ -= cost;
     return true;
@@ -20,7 +20,7 @@
 
  private:
   double tokens_;
-  double most_;
+  double capacity_;
 };
 
 }  // namespace tulipyoke::limits
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -21,7 +21,7 @@
 void OutlierDetection::ObserveAttempt(endpoints::Server& server, const estimates::InFlightAttempt& attempt,
                                       const AttemptEnded& outcome, endpoints::EventScope& scope) {
   const Status status = outcome.status;
-  if (ServerResponded(status)) server.Answered(scope.now, context_.settings.overload_window);
+  if (ServerResponded(status)) server.OnResponse(scope.now, context_.settings.overload_window);
   // A refused connection may only mean that the server has reached its connection limit; a health check tells
   // whether it is down.
   if (status == Status::kConnectFailed) checks_.Request(server, 0, scope);
@@ -30,15 +30,16 @@
   }
   if (status == Status::kReset) {
     // If the process has died, everything in flight there fails, and so does the health check.
-    const double failure_share = server.FailureShare(scope.now, context_.scales);
-    if (failure_share >= kEjectionFailureShare) Eject(server, limits::OutlierSign::kUnreachable, scope);
+    const double failure_share = server.FailureRate(scope.now, context_.scales);
+    if (failure_share >= kEjectionFailureShare) Eject(server, limits::EjectionReason::kUnreachable, scope);
     checks_.Request(server, 0, scope);
   }
   const ClassSettings& c = context_.ClassOf(attempt.class_index);
-  const bool late_timeout = status == Status::kTimeout && endpoints::TimingOf(outcome, c).overloaded;
-  if (late_timeout && server.last_answer < attempt.sent) Eject(server, limits::OutlierSign::kSlow, scope);
+  const bool late_timeout = status == Status::kTimeout && endpoints::ClassifyTiming(outcome, c).overloaded;
+  if (late_timeout && server.last_response < attempt.sent)
+    Eject(server, limits::EjectionReason::kSlow, scope);
   if (status == Status::kOverloaded || status == Status::kConnectFailed) {
-    server.ejection.BackOff(scope.now, context_.scales, context_.random);
+    server.ejection.StartBackoff(scope.now, context_.scales, context_.random);
   }
 }
 
@@ -48,11 +49,11 @@
   if (status == Status::kOk) {
     server.health_check.succeeded = scope.now;
   } else if (status != Status::kOverloaded) {
-    Eject(server, limits::OutlierSign::kUnreachable, scope);
+    Eject(server, limits::EjectionReason::kUnreachable, scope);
   }
 }
 
-void OutlierDetection::Eject(endpoints::Server& server, limits::OutlierSign sign,
+void OutlierDetection::Eject(endpoints::Server& server, limits::EjectionReason sign,
                              endpoints::EventScope& scope) {
   const bool ejected = server.ejection.Eject(scope.now, sign, context_.scales, context_.random);
   if (ejected) checks_.Request(server, 0, scope);
--- a/src/policy/replica_selector.cpp
+++ b/src/policy/replica_selector.cpp
@@ -63,7 +63,7 @@
 }
 
 double ReplicaSelector::QueuedWork(const Server& server, int class_index, Micros now) const {
-  const double expected = context_.latency.Expected(server.slowness, class_index, now);
+  const double expected = context_.latency.ExpectedLatency(server.latency_ratio, class_index, now);
   return server.queue.RemainingWork(now, context_.service_concurrency.value(), expected);
 }
 
@@ -71,21 +71,23 @@
 // attempts until one succeeds, and the wait for the position.
 double ReplicaSelector::ExpectedLatency(const Server& server, const Request& read, Micros needed,
                                         Micros now) const {
-  const double failure_share = std::min(server.FailureShare(now, context_.scales), kMaxFailureShare);
+  const double failure_share = std::min(server.FailureRate(now, context_.scales), kMaxFailureShare);
   const double attempts = 1 / (1 - failure_share);
-  const double service_time = attempts * context_.latency.Expected(server.slowness, read.class_index, now);
-  return context_.latency.RemainingWork(server.in_flight, server.slowness, now) + service_time +
+  const double service_time =
+      attempts * context_.latency.ExpectedLatency(server.latency_ratio, read.class_index, now);
+  return context_.latency.RemainingWork(server.in_flight, server.latency_ratio, now) + service_time +
          PredictedWait(server, needed, now);
 }
 
 // With this penalty, one of hundreds of routers uses only a few servers and has better estimates of them.
 double ReplicaSelector::LocalityPenalty(const Server& server, int class_index, Micros now) const {
   const Settings& settings = context_.settings;
-  const bool responded = server.last_answer != endpoints::kNever;
-  const bool connected = responded && estimates::Decay(now - server.last_answer, context_.scales.fade_span) >
-                                          kOpenConnectionWeight;
+  const bool responded = server.last_response != endpoints::kNever;
+  const bool connected =
+      responded &&
+      estimates::DecayFactor(now - server.last_response, context_.scales.decay_time) > kOpenConnectionWeight;
   const bool other_zone = settings.cross_zone_cost > 0 && server.zone != settings.zone;
-  return kLocalityPenaltyShare * context_.latency.Usual(class_index) *
+  return kLocalityPenaltyShare * context_.latency.TypicalLatency(class_index) *
          ((connected ? 0 : 1) + (other_zone ? 1 : 0));
 }
 
--- a/src/policy/request_router.cpp
+++ b/src/policy/request_router.cpp
@@ -94,7 +94,7 @@
   bool searching = false;
   for (const ServerId id : table_.GroupAt(group).members) {
     Server& server = table_.At(id);
-    checks_.Request(server, 2 * context_.scales.check_interval, scope);
+    checks_.Request(server, 2 * context_.scales.housekeeping_interval, scope);
     searching = searching || server.health_check.in_progress;
   }
   return searching;
@@ -121,7 +121,7 @@
   read.failed_servers.clear();
   for (const ServerId id : table_.GroupAt(read.group).members) {
     Server& server = table_.At(id);
-    if (!server.position.known()) checks_.Request(server, context_.scales.check_interval, scope);
+    if (!server.position.known()) checks_.Request(server, context_.scales.housekeeping_interval, scope);
   }
   read.awaited_replica.reset();
   parked_.Park(read);
@@ -138,16 +138,16 @@
   if (selector_.PredictedWait(replica, needed, scope.now) > time_left) {
     const bool servers_check_freshness = context_.settings.staleness_guard != StalenessGuard::kOff;
     const bool is_session_read = context_.ClassOf(read.class_index).freshness == Freshness::kSession;
-    const bool observed_too_stale = is_session_read && replica.position.observed() > read.arrived;
+    const bool observed_too_stale = is_session_read && replica.position.observed_at() > read.arrived;
     if (read.stale_rejections > 0 || (!servers_check_freshness && observed_too_stale))
       return RouteToPrimaryHeadroom(read, scope);
-    if (servers_check_freshness && checks_.TakeForRead()) return Send(read, replica, scope);
+    if (servers_check_freshness && checks_.TryConsumeForRead()) return Send(read, replica, scope);
   }
   WaitForReplica(read, replica, needed, scope);
 }
 
 void RequestRouter::WaitForReplica(Request& read, Server& replica, Micros needed, EventScope& scope) {
-  const Micros check_interval = context_.scales.check_interval;
+  const Micros check_interval = context_.scales.housekeeping_interval;
   if (read.awaited_replica != replica.id || scope.now >= read.reselect_at) {
     const auto wait = static_cast<Micros>(selector_.PredictedWait(replica, needed, scope.now));
     read.reselect_at = scope.now + std::max(check_interval, wait);
@@ -173,14 +173,16 @@
 bool RequestRouter::WaitsForQueueReport(Request& read, Server& server, EventScope& scope) {
   const Server* queried = scope.now < read.queue_check_until ? table_.Find(read.queue_check_server) : nullptr;
   if (!queried || !queried->health_check.in_progress) {
-    const bool reports_queue = context_.report_reader.HasQueue() && context_.settings.health_checks_allowed;
+    const bool reports_queue =
+        context_.report_reader.ReportsQueueLength() && context_.settings.health_checks_allowed;
     if (!reports_queue || read.queue_checks >= kMaxReplicasTried) return false;
     if (admission_.AdmitsAllReads(read.group, scope.now) && server.queue.length() < 1) return false;
-    const double expected = context_.latency.Expected(server.slowness, read.class_index, scope.now);
+    const double expected =
+        context_.latency.ExpectedLatency(server.latency_ratio, read.class_index, scope.now);
     if (static_cast<double>(server.queue.Age(scope.now)) <= expected) return false;
     ++read.queue_checks;
     read.queue_check_server = server.id;
-    read.queue_check_until = scope.now + context_.scales.check_interval;
+    read.queue_check_until = scope.now + context_.scales.housekeeping_interval;
     checks_.Request(server, 0, scope);
   }
   parked_.Park(read);
@@ -191,7 +193,7 @@
   const Micros now = scope.now;
   const ClassSettings& c = context_.ClassOf(request.class_index);
   slow_start_.RecordSend(server, request.class_index, now);
-  if (server.ejection.ejected()) server.ejection.BackOff(now, context_.scales, context_.random);
+  if (server.ejection.ejected()) server.ejection.StartBackoff(now, context_.scales, context_.random);
   const bool freshness_check = selector_.NeededPosition(request, now) > server.position.value();
   server.in_flight.Add({request.id, request.attempts, request.class_index, request.key, now,
                         /*cancelled=*/false, freshness_check});
--- a/tests/estimates/time_scales_test.cpp
+++ b/tests/estimates/time_scales_test.cpp
@@ -1,4 +1,4 @@
-// The time spans that follow from the settings.
+// Tests of the time intervals derived from the settings.
 #include "src/estimates/time_scales.hpp"
 
 #include <gtest/gtest.h>
@@ -8,27 +8,27 @@
 namespace tulipyoke::estimates {
 namespace {
 
-TEST(TimeScales, FollowFromTheClasses) {
+TEST(TimeScales, AreDerivedFromTheClasses) {
   const TimeScales scales(Normalized(TestSettings()));
-  EXPECT_EQ(scales.check_interval, 50 * kMs);
+  EXPECT_EQ(scales.housekeeping_interval, 50 * kMs);
   EXPECT_EQ(scales.longest_objective, 400 * kMs);
   EXPECT_EQ(scales.longest_deadline, kSecond);
   EXPECT_EQ(scales.tightest_staleness_bound, 500 * kMs);
-  EXPECT_EQ(scales.fade_span, 2 * kSecond);
-  EXPECT_EQ(scales.forget_after, 2 * kSecond);
-  EXPECT_EQ(scales.work_span, 10 * kSecond);
+  EXPECT_EQ(scales.decay_time, 2 * kSecond);
+  EXPECT_EQ(scales.unlisted_retention, 2 * kSecond);
+  EXPECT_EQ(scales.throughput_window, 10 * kSecond);
 }
 
-// Guards against a division by zero or a timer without a delay where nothing is set.
+// Guards against a division by zero or a timer without a delay when the settings are empty.
 TEST(TimeScales, ArePositiveWithoutSettings) {
   const TimeScales scales(Normalized(Settings{}));
-  EXPECT_EQ(scales.check_interval, 1);
-  EXPECT_EQ(scales.fade_span, 2);
-  EXPECT_EQ(scales.work_span, 1);
+  EXPECT_EQ(scales.housekeeping_interval, 1);
+  EXPECT_EQ(scales.decay_time, 2);
+  EXPECT_EQ(scales.throughput_window, 1);
   EXPECT_EQ(scales.tightest_staleness_bound, kForever);
 }
 
-TEST(TimeScales, AnObjectiveOrADeadlineThatIsMissingIsTheOther) {
+TEST(TimeScales, MissingObjectiveOrDeadlineDefaultsToTheOther) {
   Settings settings;
   settings.classes.resize(2);
   settings.classes[0].latency_objective = 5;
--- a/tests/limits/token_budget_test.cpp
+++ b/tests/limits/token_budget_test.cpp
@@ -1,4 +1,4 @@
-// Budgets that are refilled in small amounts.
+// Tests of the token bucket.
 #include "src/limits/token_budget.hpp"
 
 #include <gtest/gtest.h>
@@ -8,15 +8,15 @@
 namespace tulipyoke::limits {
 namespace {
 
-TEST(TokenBudget, SpendsNoMoreThanItHas) {
+TEST(TokenBudget, NeverSpendsMoreThanItHolds) {
   TokenBudget budget(1, 2);
-  EXPECT_TRUE(budget.TryTake(1));
-  EXPECT_FALSE(budget.TryTake(0.5));
+  EXPECT_TRUE(budget.TryConsume(1));
+  EXPECT_FALSE(budget.TryConsume(0.5));
   budget.Refill(0.5);
-  EXPECT_TRUE(budget.TryTake(0.5));
+  EXPECT_TRUE(budget.TryConsume(0.5));
   budget.Refill(100);
-  EXPECT_TRUE(budget.TryTake(2));
-  EXPECT_FALSE(budget.TryTake(0.1));
+  EXPECT_TRUE(budget.TryConsume(2));
+  EXPECT_FALSE(budget.TryConsume(0.1));
 }
 
 }  // namespace
