--- a/src/listener/client_messages.cpp
+++ b/src/listener/client_messages.cpp
@@ -174,7 +174,7 @@
   request.wait = statement.timeout_ms * kMicrosPerMilli;
   request.arrived = client->message_arrived;
   request.preceding_write = PrecedingWrite(*client, request.key);
-  if (is_session_read) request.after_unix_ms = statement.read_after_ms;
+  if (is_session_read) request.after_unix_ms = statement.last_write_unix_ms;
   request.repeat = statement.is_retry;
 
   PendingResponse& response = AddPendingResponse(*client);
--- a/src/pg/query_response.cpp
+++ b/src/pg/query_response.cpp
@@ -22,7 +22,7 @@
   if (code == sqlstate::kReadOnlyTransaction || code == sqlstate::kSnapshotTooOld)
     return Status::kStaleOrWrongRole;
   if (code == sqlstate::kTooManyConnections) return Status::kOverloaded;
-  if (code == sqlstate::kCannotConnectNow && kind == QueryKind::kProbe) return Status::kOverloaded;
+  if (code == sqlstate::kCannotConnectNow && kind == QueryKind::kHealthCheck) return Status::kOverloaded;
   return Status::kError;
 }
 
--- a/src/pg/query_response.hpp
+++ b/src/pg/query_response.hpp
@@ -12,7 +12,7 @@
 
 namespace tulipyoke::pg {
 
-enum class QueryKind { kStatement, kProbe };
+enum class QueryKind { kStatement, kHealthCheck };
 
 // kComplete: the connection is ready for the next query.
 enum class ResponseProgress { kIncomplete, kComplete };
--- a/src/pg/statement.cpp
+++ b/src/pg/statement.cpp
@@ -170,8 +170,8 @@
     result.cluster = *cluster;
   }
   if (!fields->read_after.empty()) {
-    result.read_after_ms = ParseNumber<std::int64_t>(fields->read_after, kMaxReadAfterMs);
-    if (!result.read_after_ms) return std::nullopt;
+    result.last_write_unix_ms = ParseNumber<std::int64_t>(fields->read_after, kMaxReadAfterMs);
+    if (!result.last_write_unix_ms) return std::nullopt;
   }
   std::optional<SqlFields> sql = ParseSelect(parts->sql);
   if (!sql) sql = ParseInsert(parts->sql);
--- a/src/pg/statement.hpp
+++ b/src/pg/statement.hpp
@@ -12,15 +12,15 @@
 
 // The views are into the statement's text. The field's name in the comment is given where it differs.
 struct Statement {
-  std::string_view request_id;                // id
-  std::string_view class_name;                // c
-  std::string_view tenant;                    // t
-  std::string_view key;                       // the first quoted text of the SQL
-  std::string_view idempotency_key;           // k, by which the servers of a cluster drop a repeated write
-  std::int64_t timeout_ms = 0;                // d
-  std::size_t timeout_offset = 0;             // where the text of d stands
-  std::size_t timeout_size = 0;               // and how long it is
-  std::optional<std::int64_t> read_after_ms;  // after: Unix time up to which the session has written
+  std::string_view request_id;       // id
+  std::string_view class_name;       // c
+  std::string_view tenant;           // t
+  std::string_view key;              // the first quoted text of the SQL
+  std::string_view idempotency_key;  // k, by which the servers of a cluster drop a repeated write
+  std::int64_t timeout_ms = 0;       // d
+  std::size_t timeout_offset = 0;    // where the text of d stands
+  std::size_t timeout_size = 0;      // and how long it is
+  std::optional<std::int64_t> last_write_unix_ms;  // after: Unix time up to which the session has written
   int cluster = 0;
   bool is_write = false;
   bool is_retry = false;  // r=1: the client has sent this request before
--- a/src/upstream/upstream_connection.cpp
+++ b/src/upstream/upstream_connection.cpp
@@ -57,7 +57,7 @@
   state_ = State::kBusy;
   operation_id_ = operation.operation_id;
   latest_start_ = operation.latest_start;
-  response_ = pg::QueryResponseReader(is_probe ? pg::QueryKind::kProbe : pg::QueryKind::kStatement);
+  response_ = pg::QueryResponseReader(is_probe ? pg::QueryKind::kHealthCheck : pg::QueryKind::kStatement);
   stream_.reset();
   value_remaining_ = 0;
   if (is_probe) {
--- a/tests/pg/golden_bytes_test.cpp
+++ b/tests/pg/golden_bytes_test.cpp
@@ -277,7 +277,7 @@
                                        {'Z', "I"},
                                        {'Z', "T"},
                                        {'G', ""}};
-  for (const auto kind : {QueryKind::kStatement, QueryKind::kProbe}) {
+  for (const auto kind : {QueryKind::kStatement, QueryKind::kHealthCheck}) {
     for (std::size_t at = 0; at <= good.size(); ++at) {
       for (const Message& other : others) {
         std::vector<Message> messages(good.begin(), good.begin() + static_cast<std::ptrdiff_t>(at));
@@ -296,7 +296,7 @@
   return "id=" + Escaped(s.request_id) + " class=" + Escaped(s.class_name) + " tenant=" + Escaped(s.tenant) +
          " key=" + Escaped(s.key) + " repeat_key=" + Escaped(s.idempotency_key) +
          " wait=" + std::to_string(s.timeout_ms) + "@" + std::to_string(s.timeout_offset) + "+" +
-         std::to_string(s.timeout_size) + " after=" + std::to_string(s.read_after_ms.value_or(-1)) +
+         std::to_string(s.timeout_size) + " after=" + std::to_string(s.last_write_unix_ms.value_or(-1)) +
          " cluster=" + std::to_string(s.cluster) + (s.is_write ? " writes" : "") +
          (s.is_retry ? " repeat" : "");
 }
--- a/tests/pg/query_response_test.cpp
+++ b/tests/pg/query_response_test.cpp
@@ -86,10 +86,10 @@
 // Guards against a healthy server taken for a dead one because too many routers asked it at once. For a
 // statement the code proves nothing.
 TEST(QueryResponse, ARejectedProbeIsNoFailure) {
-  for (const auto query : {QueryKind::kProbe, QueryKind::kStatement}) {
+  for (const auto query : {QueryKind::kHealthCheck, QueryKind::kStatement}) {
     QueryResponseReader reader(query);
     EXPECT_FALSE(Completes(reader, {'E', std::string_view("SFATAL\0C57P03\0Mbusy\0\0", 21)}));
-    const bool probe = query == QueryKind::kProbe;
+    const bool probe = query == QueryKind::kHealthCheck;
     EXPECT_EQ(reader.outcome()->status, probe ? Status::kOverloaded : Status::kError);
   }
 }
--- a/tests/pg/statement_test.cpp
+++ b/tests/pg/statement_test.cpp
@@ -24,7 +24,7 @@
   EXPECT_EQ(s->key, "7f3a");
   EXPECT_EQ(s->timeout_ms, 480);
   EXPECT_EQ(s->cluster, 2);
-  EXPECT_EQ(s->read_after_ms, 1767225600123);
+  EXPECT_EQ(s->last_write_unix_ms, 1767225600123);
   EXPECT_FALSE(s->is_retry);
   const RequestPayload payload{std::string(kSelect), s->timeout_offset, s->timeout_size};
   std::string expected(kSelect);
