--- a/src/pg/message_parser.cpp
+++ b/src/pg/message_parser.cpp
@@ -9,8 +9,9 @@
 constexpr std::uint32_t kAuthenticationOkCode = 0;
 constexpr std::uint32_t kCancelRequestCode = 80877102;
 constexpr std::uint32_t kSslRequestCode = 80877103;
-constexpr std::uint32_t kGssRequestCode = 80877104;
-// What follows the name in a column's description: its table, number, type, size, modifier and format.
+constexpr std::uint32_t kGssEncRequestCode = 80877104;
+// The size of the fixed fields after the name in a column's description: table OID, column number, type OID,
+// type size, type modifier and format code.
 constexpr std::size_t kColumnFieldsSize = 18;
 
 Result<std::uint32_t> ParseUint32(std::string_view bytes) {
@@ -18,7 +19,7 @@
   return DecodeUint32(bytes);
 }
 
-// Removes the text up to the next zero byte, and that byte, from the front of `bytes`.
+// Removes a zero-terminated string and its terminator from the front of `bytes` and returns the string.
 Result<std::string_view> TakeString(std::string_view& bytes) {
   const std::size_t end = bytes.find('\0');
   if (end == std::string_view::npos) return ProtocolError::kUnterminatedString;
@@ -34,7 +35,7 @@
   if (!code) return code.error();
   switch (*code) {
     case kSslRequestCode:
-    case kGssRequestCode:
+    case kGssEncRequestCode:
       return StartupKind::kEncryption;
     case kCancelRequestCode:
       return StartupKind::kCancel;
@@ -77,7 +78,7 @@
 }
 
 std::optional<ProtocolError> CheckSingleColumnDescription(std::string_view body) {
-  if (!HasOneColumn(body)) return ProtocolError::kDescriptionNotOfOneColumn;
+  if (!HasOneColumn(body)) return ProtocolError::kDescriptionNotSingleColumn;
   body.remove_prefix(kColumnCountSize);
   const Result<std::string_view> name = TakeString(body);
   if (!name) return name.error();
@@ -86,11 +87,11 @@
 }
 
 Result<std::string_view> ParseSingleColumn(std::string_view body) {
-  constexpr std::size_t kHeader = kColumnCountSize + kUint32Size;
-  if (body.size() < kHeader || !HasOneColumn(body)) return ProtocolError::kRowNotOfOneColumn;
+  constexpr std::size_t kHeaderSize = kColumnCountSize + kUint32Size;
+  if (body.size() < kHeaderSize || !HasOneColumn(body)) return ProtocolError::kRowNotSingleColumn;
   const std::size_t size = DecodeUint32(body.substr(kColumnCountSize));
-  if (size != body.size() - kHeader) return ProtocolError::kRowSizeMismatch;
-  return body.substr(kHeader);
+  if (size != body.size() - kHeaderSize) return ProtocolError::kRowSizeMismatch;
+  return body.substr(kHeaderSize);
 }
 
 Result<std::string_view> ParseQuery(std::string_view body) {
--- a/src/pg/message_parser.hpp
+++ b/src/pg/message_parser.hpp
@@ -1,5 +1,5 @@
-// The bodies of the messages that a router reads, as pure functions. Views into a body are valid as long as
-// the body is.
+// Parsers for the bodies of the messages that the router reads. They are pure functions; views in their
+// results point into the body and are valid only as long as it is.
 #ifndef TULIPYOKE_SRC_PG_MESSAGE_PARSER_HPP_
 #define TULIPYOKE_SRC_PG_MESSAGE_PARSER_HPP_
 
@@ -13,14 +13,16 @@
 
 namespace tulipyoke::pg {
 
-// What a client's startup packet asks for.
+// What a client requests with a startup packet: a session, encryption (SSL or GSSAPI) or cancellation.
 enum class StartupKind { kSession, kEncryption, kCancel };
 Result<StartupKind> ParseStartup(std::string_view body);
 
-// What a server asks of a router that connects.
+// What a server's authentication message says: authentication is complete, or the server requires a method
+// that the router does not support.
 enum class Authentication { kDone, kRequired };
 Result<Authentication> ParseAuthentication(std::string_view body);
 
+// The fields of an error response that the router uses. `fatal`: the severity is FATAL or PANIC.
 struct ErrorFields {
   std::string code, message;
   bool fatal = false;
@@ -32,13 +34,13 @@
 };
 Result<ParameterStatus> ParseParameterStatus(std::string_view body);
 
-// The error that a row description has where it does not describe just one column, or holds anything else.
+// Returns an error unless the row description describes exactly one column and nothing follows it.
 std::optional<ProtocolError> CheckSingleColumnDescription(std::string_view body);
 
-// The value of a row that has one column and is not null.
+// Returns the value of a row, which must have exactly one column that is not null.
 Result<std::string_view> ParseSingleColumn(std::string_view body);
 
-// A query's text, without the zero byte that ends it.
+// Returns the text of a query without its terminating zero byte.
 Result<std::string_view> ParseQuery(std::string_view body);
 
 }  // namespace tulipyoke::pg
--- a/src/pg/message_reader.cpp
+++ b/src/pg/message_reader.cpp
@@ -7,12 +7,13 @@
 namespace tulipyoke::pg {
 namespace {
 
-// Consumed bytes are dropped once they are this many, so that a long stream is not moved each time.
+// Consumed bytes are erased only once there are more than this many, so that a long stream is not moved on
+// every call of Feed.
 constexpr std::size_t kCompactThreshold = 4096;
-// The buffer is given back, and a body is moved instead of copied, from this size on.
+// An empty buffer with a larger capacity is released, and a larger body is moved out instead of copied.
 constexpr std::size_t kMaxRetainedCapacity = 16384;
 constexpr std::size_t kTypeSize = 1;
-constexpr std::size_t kLengthSize = 4;  // the field counts itself
+constexpr std::size_t kLengthSize = 4;  // the length field counts its own four bytes
 constexpr std::size_t kStartupCodeSize = 4;
 
 }  // namespace
@@ -28,7 +29,7 @@
 void MessageReader::Feed(std::string_view bytes) {
   if (consumed_ == bytes_.size()) {
     bytes_.clear();
-    // One large message must not keep its memory for as long as the connection lives.
+    // Otherwise one large message would hold its memory until the connection closes.
     if (bytes_.capacity() > kMaxRetainedCapacity) bytes_.shrink_to_fit();
     consumed_ = 0;
   } else if (consumed_ > kCompactThreshold) {
@@ -38,7 +39,7 @@
   bytes_ += bytes;
 }
 
-bool MessageReader::IsPossibleLength(std::size_t length, char type) const {
+bool MessageReader::IsValidLength(std::size_t length, char type) const {
   if (in_startup_) return length >= kLengthSize + kStartupCodeSize && length <= kMaxStartupSize;
   const bool is_row = streams_rows_ && type == backend::kDataRow;
   return length >= kLengthSize && length <= (is_row ? kMaxValueSize + kRowHeaderSize : max_size_);
@@ -49,8 +50,8 @@
   const std::size_t header = header_size();
   if (rest.size() < header) return std::nullopt;
   const std::size_t length = DecodeUint32(rest.substr(header - kLengthSize));
-  if (!IsPossibleLength(length, rest[0])) {
-    error_ = ProtocolError::kImpossibleMessageLength;
+  if (!IsValidLength(length, rest[0])) {
+    error_ = ProtocolError::kInvalidMessageLength;
     return std::nullopt;
   }
   const std::size_t size = header - kLengthSize + length;
@@ -79,14 +80,14 @@
 
 std::optional<std::size_t> MessageReader::NextLargeRow() {
   const std::string_view rest = unread();
-  constexpr std::size_t kHeader = kTypeSize + kRowHeaderSize;
-  if (!streams_rows_ || rest.size() < kHeader || rest[0] != backend::kDataRow) return std::nullopt;
+  constexpr std::size_t kHeaderSize = kTypeSize + kRowHeaderSize;
+  if (!streams_rows_ || rest.size() < kHeaderSize || rest[0] != backend::kDataRow) return std::nullopt;
   const std::size_t length = DecodeUint32(rest.substr(kTypeSize));
   if (length <= kMaxBufferedValue + kRowHeaderSize || length > kMaxValueSize + kRowHeaderSize)
     return std::nullopt;
   const std::string_view columns = rest.substr(kTypeSize + kLengthSize);
   if (!HasOneColumn(columns)) {
-    error_ = ProtocolError::kRowNotOfOneColumn;
+    error_ = ProtocolError::kRowNotSingleColumn;
     return std::nullopt;
   }
   const std::size_t value_size = DecodeUint32(columns.substr(kColumnCountSize));
@@ -94,7 +95,7 @@
     error_ = ProtocolError::kRowSizeMismatch;
     return std::nullopt;
   }
-  consumed_ += kHeader;
+  consumed_ += kHeaderSize;
   return value_size;
 }
 
--- a/src/pg/message_types.hpp
+++ b/src/pg/message_types.hpp
@@ -1,11 +1,11 @@
-// The type bytes of the protocol's messages that this router reads or writes. The same byte means one thing
-// from a client and another from a server.
+// The type bytes of the protocol messages that the router reads or writes. The same byte has different
+// meanings in messages from clients and from servers.
 #ifndef TULIPYOKE_SRC_PG_MESSAGE_TYPES_HPP_
 #define TULIPYOKE_SRC_PG_MESSAGE_TYPES_HPP_
 
 namespace tulipyoke::pg {
 
-// From a server.
+// Messages from servers.
 namespace backend {
 inline constexpr char kAuthentication = 'R';
 inline constexpr char kBackendKeyData = 'K';
@@ -20,7 +20,7 @@
 inline constexpr char kRowDescription = 'T';
 }  // namespace backend
 
-// From a client.
+// Messages from clients.
 namespace frontend {
 inline constexpr char kBind = 'B';
 inline constexpr char kClose = 'C';
@@ -34,7 +34,7 @@
 inline constexpr char kTerminate = 'X';
 }  // namespace frontend
 
-// In place of a type byte: a startup packet, which has none.
+// Stands for the type byte of a startup packet, which has none.
 inline constexpr char kStartupPacket = '\0';
 
 }  // namespace tulipyoke::pg
--- a/src/pg/protocol_error.cpp
+++ b/src/pg/protocol_error.cpp
@@ -4,7 +4,7 @@
 
 std::string_view ToText(ProtocolError error) {
   switch (error) {
-    case ProtocolError::kImpossibleMessageLength:
+    case ProtocolError::kInvalidMessageLength:
       return "a message has an impossible length";
     case ProtocolError::kMessageTooShort:
       return "a message is shorter than its fields";
@@ -20,11 +20,11 @@
       return "a parameter goes on behind its end";
     case ProtocolError::kTrailingBytesAfterQuery:
       return "a query goes on behind its end";
-    case ProtocolError::kDescriptionNotOfOneColumn:
+    case ProtocolError::kDescriptionNotSingleColumn:
       return "not just one column is described";
     case ProtocolError::kDescriptionSizeMismatch:
-      return "a column's description does not fill its message";
-    case ProtocolError::kRowNotOfOneColumn:
+      return "the column description does not match the length of its message";
+    case ProtocolError::kRowNotSingleColumn:
       return "a row has not just one column";
     case ProtocolError::kRowSizeMismatch:
       return "a row's value does not fill it";
@@ -32,7 +32,7 @@
       return "a description that does not begin an answer";
     case ProtocolError::kUnexpectedRow:
       return "a row that was not announced";
-    case ProtocolError::kSecondEndOfResponse:
+    case ProtocolError::kDuplicateEndOfResponse:
       return "a second end in one answer";
     case ProtocolError::kUnterminatedCommandTag:
       return "a tag that does not end";
@@ -45,9 +45,9 @@
     case ProtocolError::kUnexpectedResponseMessage:
       return "a message that no simple query calls for";
     case ProtocolError::kPasswordRequested:
-      return "a password is asked for";
+      return "the server requires authentication";
     case ProtocolError::kUnexpectedStartupMessage:
-      return "a message that no startup calls for";
+      return "unexpected message during startup";
     case ProtocolError::kUnknownRequestType:
       return "a message of a type that is not known";
   }
--- a/src/pg/protocol_error.hpp
+++ b/src/pg/protocol_error.hpp
@@ -1,5 +1,5 @@
-// The ways in which a peer can break the PostgreSQL protocol. After any of them nothing more can be read on
-// the connection.
+// Violations of the PostgreSQL protocol by a client or a server. After any of them the connection cannot be
+// read any further.
 #ifndef TULIPYOKE_SRC_PG_PROTOCOL_ERROR_HPP_
 #define TULIPYOKE_SRC_PG_PROTOCOL_ERROR_HPP_
 
@@ -8,37 +8,37 @@
 namespace tulipyoke::pg {
 
 enum class ProtocolError {
-  // Framing and fields.
-  kImpossibleMessageLength,
+  // Framing and fields of all messages.
+  kInvalidMessageLength,
   kMessageTooShort,
   kUnterminatedString,
-  // Single messages.
+  // Contents of single messages.
   kUnsupportedProtocolVersion,
   kUnterminatedErrorFields,
   kTrailingBytesAfterError,
   kTrailingBytesAfterParameter,
   kTrailingBytesAfterQuery,
-  kDescriptionNotOfOneColumn,
+  kDescriptionNotSingleColumn,
   kDescriptionSizeMismatch,
-  kRowNotOfOneColumn,
+  kRowNotSingleColumn,
   kRowSizeMismatch,
-  // The order of messages in a response to a query.
+  // Messages of a query's response: their order and contents.
   kUnexpectedRowDescription,
   kUnexpectedRow,
-  kSecondEndOfResponse,
+  kDuplicateEndOfResponse,
   kUnterminatedCommandTag,
   kErrorWithoutCode,
   kReadyWithoutResponse,
   kUnexpectedTransactionStatus,
   kUnexpectedResponseMessage,
-  // The start of a connection.
+  // Startup of a connection to a server.
   kPasswordRequested,
   kUnexpectedStartupMessage,
-  // Requests of clients.
+  // Messages from clients.
   kUnknownRequestType,
 };
 
-// The text that logs, and clients in the message of an error response, are given. Static storage.
+// Returns the text that a client is sent in the message field of an error response. It has static storage.
 std::string_view ToText(ProtocolError error);
 
 }  // namespace tulipyoke::pg
--- a/src/pg/query_response.cpp
+++ b/src/pg/query_response.cpp
@@ -10,15 +10,16 @@
 namespace tulipyoke::pg {
 namespace {
 
-// The parameters by which servers report their state.
+// The parameters in which servers report their role, replication position and load.
 constexpr std::string_view kReplicationRole = "replication_role";
 constexpr std::string_view kLogPosition = "log_position";
 constexpr std::string_view kPressure = "pressure";
 constexpr std::string_view kIdleTransactionStatus = "I";
 
-// Only these codes prove that the statement did not run; with any other it may have. A probe has no effect,
-// so that for it kCannotConnectNow proves the same: the server is alive and too many asked it at once.
-Status StatusOf(std::string_view code, QueryKind kind) {
+// The codes that map to a status other than kError prove that the statement did not run; after any other code
+// it may have run. A health check has no effect, so for it kCannotConnectNow is overload as well: the server
+// is alive but received too many queries at once.
+Status StatusFromSqlstate(std::string_view code, QueryKind kind) {
   if (code == sqlstate::kReadOnlyTransaction || code == sqlstate::kSnapshotTooOld)
     return Status::kStaleOrWrongRole;
   if (code == sqlstate::kTooManyConnections) return Status::kOverloaded;
@@ -26,14 +27,14 @@
   return Status::kError;
 }
 
-Role RoleOf(std::string_view name) {
+Role ParseRole(std::string_view name) {
   if (name == "primary") return Role::kPrimary;
   if (name == "standby") return Role::kReplica;
   return Role::kUnknown;
 }
 
-// Milliseconds of Unix time; none where the text is not a positive number.
-std::optional<std::int64_t> PositionOf(std::string_view text) {
+// Returns milliseconds of Unix time, or none if the text is not a positive number.
+std::optional<std::int64_t> ParsePosition(std::string_view text) {
   std::int64_t position = 0;
   const char* const text_end = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data(), text_end, position);
@@ -96,7 +97,7 @@
 }
 
 std::optional<ProtocolError> QueryResponseReader::ReadCommandComplete(std::string_view body) {
-  if (ended()) return ProtocolError::kSecondEndOfResponse;
+  if (ended()) return ProtocolError::kDuplicateEndOfResponse;
   if (body.find('\0') + 1 != body.size()) return ProtocolError::kUnterminatedCommandTag;
   command_complete_ = true;
   outcome_.result.command_tag = body;
@@ -104,13 +105,13 @@
 }
 
 std::optional<ProtocolError> QueryResponseReader::ReadEmptyQueryResponse() {
-  if (ended()) return ProtocolError::kSecondEndOfResponse;
+  if (ended()) return ProtocolError::kDuplicateEndOfResponse;
   command_complete_ = true;
   return std::nullopt;
 }
 
 std::optional<ProtocolError> QueryResponseReader::ReadError(std::string_view body) {
-  if (ended()) return ProtocolError::kSecondEndOfResponse;
+  if (ended()) return ProtocolError::kDuplicateEndOfResponse;
   const Result<ErrorFields> fields = ParseError(body);
   if (!fields) return fields.error();
   if (fields->code.empty()) return ProtocolError::kErrorWithoutCode;
@@ -122,9 +123,9 @@
   const Result<ParameterStatus> parameter = ParseParameterStatus(body);
   if (!parameter) return parameter.error();
   if (parameter->name == kReplicationRole) {
-    outcome_.role = RoleOf(parameter->value);
+    outcome_.role = ParseRole(parameter->value);
   } else if (parameter->name == kLogPosition) {
-    if (const auto position = PositionOf(parameter->value)) outcome_.position_unix_ms = position;
+    if (const auto position = ParsePosition(parameter->value)) outcome_.position_unix_ms = position;
   } else if (parameter->name == kPressure) {
     outcome_.report = ParseLoadReport(std::string(parameter->value));
   }
@@ -140,12 +141,12 @@
 std::optional<Outcome> QueryResponseReader::outcome() const {
   Outcome outcome = outcome_;
   if (!error_code_.empty()) {
-    outcome.status = StatusOf(error_code_, kind_);
+    outcome.status = StatusFromSqlstate(error_code_, kind_);
     outcome.result = {};
     return outcome;
   }
   if (!command_complete_) return std::nullopt;
-  // Without a row the server returned nothing that could be forwarded as the value.
+  // Without a row there is no value to forward.
   if (!has_row_) outcome.status = Status::kError;
   return outcome;
 }
--- a/src/pg/query_response.hpp
+++ b/src/pg/query_response.hpp
@@ -1,4 +1,4 @@
-// A server's response to one query, read message by message until it is complete.
+// Reads a server's response to one query, message by message.
 #ifndef TULIPYOKE_SRC_PG_QUERY_RESPONSE_HPP_
 #define TULIPYOKE_SRC_PG_QUERY_RESPONSE_HPP_
 
@@ -14,22 +14,24 @@
 
 enum class QueryKind { kStatement, kHealthCheck };
 
-// kComplete: the connection is ready for the next query.
+// kComplete: the server sent ReadyForQuery and accepts the next query.
 enum class ResponseProgress { kIncomplete, kComplete };
 
-// Accepts the response to a simple query of one statement that returns one row of one column. After an error
-// the connection must be closed; outcome() still tells what came before.
+// Accepts the response to a simple query with one statement, which returns at most one row of one column.
+// After an error the connection must be closed; outcome() still returns the outcome of the messages before
+// it.
 class QueryResponseReader {
  public:
   explicit QueryResponseReader(QueryKind kind = QueryKind::kStatement) : kind_(kind) {}
 
   Result<ResponseProgress> Read(const Message& message);
-  // In place of reading a row whose value is streamed past this reader. The error, if the row is out of
-  // order.
+  // Called instead of Read for a row whose value is streamed without passing through this reader. Returns an
+  // error if a row is not expected here.
   std::optional<ProtocolError> BeginRow();
-  // The body of the row description; empty before it has come.
+  // The body of the row description, or empty if none was received yet.
   const std::string& row_description() const { return outcome_.result.row_description; }
-  // What the messages so far amount to where the connection goes no further; none: no response yet.
+  // The outcome of the messages read so far, or none if neither an error nor the end of the command was
+  // received. It is also valid if the connection breaks before the response is complete.
   std::optional<Outcome> outcome() const;
 
  private:
--- a/src/pg/result.hpp
+++ b/src/pg/result.hpp
@@ -1,4 +1,4 @@
-// What a parser returns: a value, or the error that the input has.
+// The return type of parsers: a value, or the error that was found in the input.
 #ifndef TULIPYOKE_SRC_PG_RESULT_HPP_
 #define TULIPYOKE_SRC_PG_RESULT_HPP_
 
@@ -12,18 +12,18 @@
 template <typename T>
 class [[nodiscard]] Result {
  public:
-  // Implicit, so that a parser returns a value or an error alike.
+  // Implicit, so that a parser can return a value or an error directly.
   Result(T value) : content_(std::move(value)) {}   // NOLINT(google-explicit-constructor): see above
   Result(ProtocolError error) : content_(error) {}  // NOLINT(google-explicit-constructor): see above
 
   bool ok() const { return std::holds_alternative<T>(content_); }
   explicit operator bool() const { return ok(); }
 
-  // Only where ok().
+  // Only valid if ok().
   const T& operator*() const& { return std::get<T>(content_); }
   T&& operator*() && { return std::get<T>(std::move(content_)); }
   const T* operator->() const { return &std::get<T>(content_); }
-  // Only where not ok().
+  // Only valid if not ok().
   ProtocolError error() const { return std::get<ProtocolError>(content_); }
 
  private:
--- a/src/pg/session_command.hpp
+++ b/src/pg/session_command.hpp
@@ -1,4 +1,4 @@
-// Statements that concern the client's connection alone: the router answers them itself.
+// Statements that affect only the client's session. The router answers them itself.
 #ifndef TULIPYOKE_SRC_PG_SESSION_COMMAND_HPP_
 #define TULIPYOKE_SRC_PG_SESSION_COMMAND_HPP_
 
@@ -6,10 +6,10 @@
 
 namespace tulipyoke::pg {
 
-// kNone: another statement. kEmpty: no statement at all.
+// kNone: any other statement. kEmpty: the query contains no statement.
 enum class SessionCommand { kNone, kEmpty, kSet, kReset, kDiscard };
 
-// By the first word of the query's text, in any case.
+// Classifies a query by its first word, ignoring case.
 SessionCommand ParseSessionCommand(std::string_view text);
 
 }  // namespace tulipyoke::pg
--- a/src/pg/sqlstate.hpp
+++ b/src/pg/sqlstate.hpp
@@ -1,4 +1,4 @@
-// The SQLSTATE codes that servers and this router send in error responses.
+// The SQLSTATE codes in error responses of servers and of this router.
 #ifndef TULIPYOKE_SRC_PG_SQLSTATE_HPP_
 #define TULIPYOKE_SRC_PG_SQLSTATE_HPP_
 
--- a/src/pg/statement.cpp
+++ b/src/pg/statement.cpp
@@ -14,17 +14,17 @@
 constexpr std::string_view kCommentBegin = "/*";
 constexpr std::string_view kCommentEnd = "*/";
 constexpr std::string_view kHexPrefix = "\\x";
-// Nobody waits longer than a day; the limit keeps sums of times far from overflow.
+// One day. No client waits longer, and the limit keeps sums of times from overflowing.
 constexpr std::int64_t kMaxTimeoutMs = 86'400'000;
-constexpr std::int64_t kMaxReadAfterMs = kMaxTimeoutMs * 365 * 1000;
+constexpr std::int64_t kMaxLastWriteUnixMs = kMaxTimeoutMs * 365 * 1000;
 
 struct StatementText {
   std::string_view sql, comment;
 };
 
-// The values of the comment's fields as they stand in it; empty: not given.
+// The values of the comment's fields as raw text. An empty value means that the field is absent.
 struct CommentFields {
-  std::string_view request_id, class_name, tenant, timeout, idempotency_key, retry, cluster, read_after;
+  std::string_view request_id, class_name, tenant, timeout, idempotency_key, retry, cluster, last_write;
 };
 
 struct SqlFields {
@@ -40,10 +40,10 @@
     {"id", &CommentFields::request_id},     {"c", &CommentFields::class_name},
     {"t", &CommentFields::tenant},          {"d", &CommentFields::timeout},
     {"k", &CommentFields::idempotency_key}, {"r", &CommentFields::retry},
-    {"cluster", &CommentFields::cluster},   {"after", &CommentFields::read_after},
+    {"cluster", &CommentFields::cluster},   {"after", &CommentFields::last_write},
 };
 
-// Of the whole text; none where it is not a number, or one that is not within 0 to `max`.
+// Parses the whole text as a number. Returns none if it is not a number from 0 to `max`.
 template <typename T>
 std::optional<T> ParseNumber(std::string_view text, T max) {
   T value{};
@@ -53,12 +53,12 @@
   return value;
 }
 
-// Removes the word, in any case, and the separators before it from the front; false where another text stands
-// there.
+// Removes leading separators and the word, ignoring case, from the front of `sql`. Returns false if `sql`
+// does not start with them.
 bool TakeWord(std::string_view& sql, std::string_view upper_case_word) {
   const std::size_t begin = std::min(sql.find_first_not_of(kSeparators), sql.size());
   const std::string_view found = sql.substr(begin, upper_case_word.size());
-  const auto matches = [](char c, char wanted) { return ToUpper(c) == wanted; };
+  const auto matches = [](char c, char expected) { return ToUpper(c) == expected; };
   if (!std::equal(found.begin(), found.end(), upper_case_word.begin(), upper_case_word.end(), matches))
     return false;
   sql.remove_prefix(begin + upper_case_word.size());
@@ -70,6 +70,7 @@
                      [&](std::string_view word) { return TakeWord(sql, word); });
 }
 
+// Removes a string in single quotes from the front of `sql` and returns its content.
 std::optional<std::string_view> TakeQuoted(std::string_view& sql) {
   if (!TakeWord(sql, "'")) return std::nullopt;
   const std::size_t end = sql.find('\'');
@@ -79,7 +80,7 @@
   return value;
 }
 
-// Not std::isxdigit, which is slow: values have millions of digits.
+// std::isxdigit is too slow here, since values have millions of digits.
 bool IsHexDigit(char c) { return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f') || (c >= 'A' && c <= 'F'); }
 
 bool IsHexBytes(std::string_view value) {
@@ -107,28 +108,30 @@
   return SqlFields{*key, true};
 }
 
-// None where the text does not end in a comment, or that has a control character.
+// Splits a query into its SQL and the comment that ends it. Returns none if there is no such comment or it
+// has a control character.
 std::optional<StatementText> SplitComment(std::string_view text) {
   if (!text.ends_with(kCommentEnd)) return std::nullopt;
   const std::size_t begin = text.rfind(kCommentBegin);
-  const std::size_t delimiters = kCommentBegin.size() + kCommentEnd.size();
-  if (begin == std::string_view::npos || begin + delimiters > text.size()) return std::nullopt;
+  const std::size_t delimiters_size = kCommentBegin.size() + kCommentEnd.size();
+  if (begin == std::string_view::npos || begin + delimiters_size > text.size()) return std::nullopt;
   const std::string_view comment =
-      text.substr(begin + kCommentBegin.size(), text.size() - begin - delimiters);
+      text.substr(begin + kCommentBegin.size(), text.size() - begin - delimiters_size);
   const auto is_control = [](char c) { return static_cast<unsigned char>(c) < ' '; };
   if (std::any_of(comment.begin(), comment.end(), is_control)) return std::nullopt;
   return StatementText{text.substr(0, begin), comment};
 }
 
-// False where the pair spoils the comment; fields of other names are ignored.
+// Stores one `name=value` pair; unknown names are ignored. Returns false if the pair makes the comment
+// invalid.
 bool ParseField(std::string_view pair, CommentFields& fields) {
   const std::size_t equals = std::min(pair.find('='), pair.size());
   const std::string_view name = pair.substr(0, equals);
-  const auto* const known = std::find_if(std::begin(kFieldNames), std::end(kFieldNames),
+  const auto* const entry = std::find_if(std::begin(kFieldNames), std::end(kFieldNames),
                                          [&](const FieldName& field) { return field.name == name; });
-  if (known == std::end(kFieldNames)) return true;
-  std::string_view& value = fields.*known->value;
-  // Given twice, it could be read one way here and another way by a server.
+  if (entry == std::end(kFieldNames)) return true;
+  std::string_view& value = fields.*entry->value;
+  // A duplicate field is refused, because a server might use the other value.
   if (!value.empty() || equals == pair.size()) return false;
   value = pair.substr(equals + 1);
   return true;
@@ -169,8 +172,8 @@
     if (!cluster) return std::nullopt;
     result.cluster = *cluster;
   }
-  if (!fields->read_after.empty()) {
-    result.last_write_unix_ms = ParseNumber<std::int64_t>(fields->read_after, kMaxReadAfterMs);
+  if (!fields->last_write.empty()) {
+    result.last_write_unix_ms = ParseNumber<std::int64_t>(fields->last_write, kMaxLastWriteUnixMs);
     if (!result.last_write_unix_ms) return std::nullopt;
   }
   std::optional<SqlFields> sql = ParseSelect(parts->sql);
--- a/tests/pg/message_parser_test.cpp
+++ b/tests/pg/message_parser_test.cpp
@@ -1,4 +1,4 @@
-// Parsers of message bodies under damaged input.
+// Parsers of message bodies with corrupted input.
 #include "src/pg/message_parser.hpp"
 
 #include <gtest/gtest.h>
@@ -14,28 +14,28 @@
 namespace tulipyoke::pg {
 namespace {
 
-// Guards against any bytes at all that crash a parser or run past the end of what came.
-TEST(Parsers, RandomGarbageEndsInAnErrorOrNothing) {
-  int refused = 0;
+// Guards against input that crashes a parser or makes it read past the end of the input.
+TEST(MessageParsers, CorruptedBytesGiveAnErrorOrNoMessage) {
+  int error_count = 0;
   for (unsigned seed = 0; seed < 2000; ++seed) {
     std::mt19937 random(seed);
     std::string bytes = SampleStream().substr(0, 160);
     for (int i = 0; i < 8; ++i) bytes[random() % bytes.size()] = static_cast<char>(random());
     MessageReader reader(seed % 5 == 0, 4096);
-    QueryResponseReader answer;
+    QueryResponseReader response;
     reader.Feed(bytes);
-    bool garbage = false;
-    while (!garbage) {
+    bool malformed = false;
+    while (!malformed) {
       const auto message = reader.Next();
       if (!message) break;
-      garbage = !answer.Read(*message).ok();
+      malformed = !response.Read(*message).ok();
     }
-    if (garbage || reader.error()) ++refused;
-    if (!ParseStartup(bytes)) ++refused;
+    if (malformed || reader.error()) ++error_count;
+    if (!ParseStartup(bytes)) ++error_count;
     ParseLoadReport(bytes);
     ParseSessionCommand(bytes);
   }
-  EXPECT_GT(refused, 1000);
+  EXPECT_GT(error_count, 1000);
 }
 
 }  // namespace
--- a/tests/pg/message_reader_test.cpp
+++ b/tests/pg/message_reader_test.cpp
@@ -1,4 +1,4 @@
-// Framing: however the stream is cut, the same messages come out of it.
+// Framing of messages: the result does not depend on how the stream is split into chunks.
 #include "src/pg/message_reader.hpp"
 
 #include <gtest/gtest.h>
@@ -16,93 +16,94 @@
 namespace tulipyoke::pg {
 namespace {
 
-struct SeenMessage {
+struct OwnedMessage {
   char type = 0;
   std::string body;
-  bool operator==(const SeenMessage&) const = default;
+  bool operator==(const OwnedMessage&) const = default;
 };
-using Seen = std::vector<SeenMessage>;
+using Messages = std::vector<OwnedMessage>;
 
-Seen ReadAll(MessageReader& reader) {
-  Seen seen;
-  while (const auto message = reader.Next()) seen.push_back({message->type, std::string(message->body)});
-  return seen;
+Messages ReadAll(MessageReader& reader) {
+  Messages actual;
+  while (const auto message = reader.Next()) actual.push_back({message->type, std::string(message->body)});
+  return actual;
 }
 
-// Guards against framing that depends on how the network cuts the stream.
-TEST(MessageReader, RandomCutsGiveTheSameMessages) {
+// Guards against framing that depends on how the network splits the stream.
+TEST(MessageReader, MessagesDoNotDependOnChunkBoundaries) {
   const std::string bytes = SampleStream();
   MessageReader whole(false);
   whole.Feed(bytes);
-  const Seen expected = ReadAll(whole);
+  const Messages expected = ReadAll(whole);
   ASSERT_EQ(expected.size(), 6u);
   for (unsigned seed = 0; seed < 50; ++seed) {
     std::mt19937 random(seed);
     MessageReader reader(false);
-    Seen seen;
-    for (std::size_t at = 0; at < bytes.size();) {
-      const std::size_t size = std::min<std::size_t>(bytes.size() - at, 1 + random() % (seed % 2 ? 9 : 9000));
-      reader.Feed(std::string_view(bytes).substr(at, size));
-      at += size;
-      for (auto& message : ReadAll(reader)) seen.push_back(std::move(message));
+    Messages actual;
+    for (std::size_t offset = 0; offset < bytes.size();) {
+      const std::size_t size =
+          std::min<std::size_t>(bytes.size() - offset, 1 + random() % (seed % 2 ? 9 : 9000));
+      reader.Feed(std::string_view(bytes).substr(offset, size));
+      offset += size;
+      for (auto& message : ReadAll(reader)) actual.push_back(std::move(message));
     }
-    EXPECT_EQ(seen, expected) << seed;
+    EXPECT_EQ(actual, expected) << seed;
     EXPECT_EQ(reader.buffered(), 0u);
   }
 }
 
-// Guards against lengths that would make the reader wait for ever or take memory without end.
-TEST(MessageReader, ImpossibleLengthsAreRefusedAtOnce) {
+// Guards against lengths that would make the reader wait forever or allocate without limit.
+TEST(MessageReader, InvalidLengthsAreRejectedImmediately) {
   for (const std::string_view bytes :
        {std::string_view("Q\0\0\0\3", 5), std::string_view("Q\x7f\xff\xff\xff", 5)}) {
     MessageReader reader(false);
     reader.Feed(bytes);
     EXPECT_FALSE(reader.Next());
-    EXPECT_EQ(reader.error(), ProtocolError::kImpossibleMessageLength);
+    EXPECT_EQ(reader.error(), ProtocolError::kInvalidMessageLength);
   }
   MessageReader startup(true);
   startup.Feed(std::string_view("\0\1\0\0", 4));
   EXPECT_FALSE(startup.Next());
-  EXPECT_EQ(startup.error(), ProtocolError::kImpossibleMessageLength);
+  EXPECT_EQ(startup.error(), ProtocolError::kInvalidMessageLength);
 }
 
-// Guards against a large value read otherwise because of where its bytes were cut, or taking what is behind
-// it.
-TEST(MessageReader, ALargeRowIsStreamed) {
+// Guards against a large value whose bytes depend on chunk boundaries, or that includes bytes of the next
+// message.
+TEST(MessageReader, LargeRowIsStreamed) {
   const std::string value(kMaxBufferedValue + 1, 'v');
   std::string bytes;
-  AppendDataRow(bytes, value.substr(1));  // just small enough to be held
+  AppendDataRow(bytes, value.substr(1));  // the largest value that is buffered
   AppendDataRow(bytes, value);
   AppendReadyForQuery(bytes);
   for (unsigned seed = 0; seed < 20; ++seed) {
     std::mt19937 random(seed);
     MessageReader reader = MessageReader::ForResponses();
-    std::string seen, taken;
-    std::size_t left = 0;
-    for (std::size_t at = 0; at < bytes.size();) {
-      const std::size_t size = std::min<std::size_t>(bytes.size() - at, 1 + random() % 9000);
-      reader.Feed(std::string_view(bytes).substr(at, size));
-      at += size;
+    std::string actual, read_value;
+    std::size_t remaining = 0;
+    for (std::size_t offset = 0; offset < bytes.size();) {
+      const std::size_t size = std::min<std::size_t>(bytes.size() - offset, 1 + random() % 9000);
+      reader.Feed(std::string_view(bytes).substr(offset, size));
+      offset += size;
       for (bool more = true; more;) {
-        const std::string_view part = reader.TakeValue(left);
-        taken += part;
-        left -= part.size();
-        if (left > 0) break;
+        const std::string_view part = reader.TakeValue(remaining);
+        read_value += part;
+        remaining -= part.size();
+        if (remaining > 0) break;
         const auto large = reader.NextLargeRow();
-        if (large) left = *large;
+        if (large) remaining = *large;
         const auto message = large ? std::nullopt : reader.Next();
-        if (message) seen += message->type;
+        if (message) actual += message->type;
         more = large || message;
       }
     }
-    EXPECT_EQ(seen, "DZ") << seed;
-    EXPECT_TRUE(taken == value) << seed;
+    EXPECT_EQ(actual, "DZ") << seed;
+    EXPECT_TRUE(read_value == value) << seed;
   }
 }
 
-// Guards against a header that does not fit the row: nothing of the value is forwarded then.
-TEST(MessageReader, ALargeRowWithAWrongHeaderIsRefused) {
-  const auto head = [](std::size_t length, char columns, std::size_t size) {
+// Guards against forwarding part of a value when the header of its row is inconsistent.
+TEST(MessageReader, LargeRowWithMismatchedHeaderIsRejected) {
+  const auto row_bytes = [](std::size_t length, char columns, std::size_t size) {
     std::string bytes = "D";
     for (const std::size_t number : {length, size}) {
       for (int shift = 24; shift >= 0; shift -= 8) bytes.push_back(static_cast<char>(number >> shift & 0xff));
@@ -110,10 +111,10 @@
     }
     return bytes;
   };
-  struct ReadHead {
+  struct RowHeaderResult {
     std::optional<std::size_t> size;
     std::optional<ProtocolError> error;
-    bool operator==(const ReadHead&) const = default;
+    bool operator==(const RowHeaderResult&) const = default;
   };
   const auto read = [](const std::string& bytes) {
     MessageReader reader = MessageReader::ForResponses();
@@ -122,20 +123,20 @@
     if (!large && !reader.error()) {
       EXPECT_FALSE(reader.Next());
     }
-    return ReadHead{large, reader.error()};
+    return RowHeaderResult{large, reader.error()};
   };
-  const auto size_of = [](std::size_t size) { return ReadHead{size, std::nullopt}; };
-  const auto error_of = [](ProtocolError error) { return ReadHead{std::nullopt, error}; };
-  EXPECT_EQ(read(head(100'010, 1, 100'000)), size_of(100'000));
-  EXPECT_EQ(read(head(kMaxValueSize + kRowHeaderSize, 1, kMaxValueSize)), size_of(kMaxValueSize));
-  EXPECT_EQ(read(head(100'010, 2, 100'000)), error_of(ProtocolError::kRowNotOfOneColumn));
-  EXPECT_EQ(read(head(100'010, 1, 99'999)), error_of(ProtocolError::kRowSizeMismatch));
-  EXPECT_EQ(read(head(kMaxValueSize + kRowHeaderSize + 1, 1, kMaxValueSize + 1)),
-            error_of(ProtocolError::kImpossibleMessageLength));
-  EXPECT_EQ(read(head(3'000'000'000, 1, 2'999'999'990)), error_of(ProtocolError::kImpossibleMessageLength));
-  EXPECT_EQ(read(head(100'010, 1, 100'000).substr(0, 10)), ReadHead{});
-  EXPECT_EQ(read("E" + head(100'010, 1, 100'000).substr(1)),
-            error_of(ProtocolError::kImpossibleMessageLength));
+  const auto size_of = [](std::size_t size) { return RowHeaderResult{size, std::nullopt}; };
+  const auto error_of = [](ProtocolError error) { return RowHeaderResult{std::nullopt, error}; };
+  EXPECT_EQ(read(row_bytes(100'010, 1, 100'000)), size_of(100'000));
+  EXPECT_EQ(read(row_bytes(kMaxValueSize + kRowHeaderSize, 1, kMaxValueSize)), size_of(kMaxValueSize));
+  EXPECT_EQ(read(row_bytes(100'010, 2, 100'000)), error_of(ProtocolError::kRowNotSingleColumn));
+  EXPECT_EQ(read(row_bytes(100'010, 1, 99'999)), error_of(ProtocolError::kRowSizeMismatch));
+  EXPECT_EQ(read(row_bytes(kMaxValueSize + kRowHeaderSize + 1, 1, kMaxValueSize + 1)),
+            error_of(ProtocolError::kInvalidMessageLength));
+  EXPECT_EQ(read(row_bytes(3'000'000'000, 1, 2'999'999'990)), error_of(ProtocolError::kInvalidMessageLength));
+  EXPECT_EQ(read(row_bytes(100'010, 1, 100'000).substr(0, 10)), RowHeaderResult{});
+  EXPECT_EQ(read("E" + row_bytes(100'010, 1, 100'000).substr(1)),
+            error_of(ProtocolError::kInvalidMessageLength));
 }
 
 }  // namespace
--- a/tests/pg/query_response_test.cpp
+++ b/tests/pg/query_response_test.cpp
@@ -1,4 +1,4 @@
-// A server's response, from its messages to the outcome.
+// The outcome that is read from the messages of a server's response.
 #include "src/pg/query_response.hpp"
 
 #include <gtest/gtest.h>
@@ -15,16 +15,16 @@
 namespace tulipyoke::pg {
 namespace {
 
-constexpr std::string_view kShape("\0\1blob\0\0\0\0\0\0\0\0\0\0\21\xff\xff\xff\xff\xff\xff\0\1", 25);
+constexpr std::string_view kRowDescription("\0\1blob\0\0\0\0\0\0\0\0\0\0\21\xff\xff\xff\xff\xff\xff\0\1", 25);
 
-// Reads a message that must be in order; whether it completes the response.
+// Reads a message that must not be an error. Returns whether it completes the response.
 bool Completes(QueryResponseReader& reader, const Message& message) {
   const Result<ResponseProgress> progress = reader.Read(message);
   EXPECT_TRUE(progress.ok()) << message.type;
   return progress.ok() && *progress == ResponseProgress::kComplete;
 }
 
-// The error that the message ends in; none: it is in order.
+// Reads a message and returns its error, if any.
 std::optional<ProtocolError> ErrorOf(QueryResponseReader& reader, const Message& message) {
   const Result<ResponseProgress> progress = reader.Read(message);
   if (progress.ok()) return std::nullopt;
@@ -36,20 +36,20 @@
 }
 
 struct ResponseCase {
-  const char* code;  // none: a row
+  const char* code;  // null: the response is a row
   Status status;
 };
 class QueryResponseTest : public testing::TestWithParam<ResponseCase> {};
 
-// Which codes prove that the statement did not run, and which do not.
-TEST_P(QueryResponseTest, CodesBecomeOutcomes) {
+// Guards against a wrong status for an error code: only some codes prove that the statement did not run.
+TEST_P(QueryResponseTest, SqlstateDeterminesStatus) {
   QueryResponseReader reader;
   std::string error;
   if (GetParam().code) {
     AppendError(error, "ERROR", GetParam().code, "");
     EXPECT_FALSE(Completes(reader, {'E', std::string_view(error).substr(5)}));
   } else {
-    EXPECT_FALSE(Completes(reader, {'T', kShape}));
+    EXPECT_FALSE(Completes(reader, {'T', kRowDescription}));
     EXPECT_FALSE(Completes(reader, {'D', std::string_view("\0\1\0\0\0\2\0v", 8)}));
     EXPECT_FALSE(reader.outcome());
     EXPECT_FALSE(Completes(reader, {'C', std::string_view("SELECT 1\0", 9)}));
@@ -72,8 +72,8 @@
                     ResponseCase{"72000", Status::kStaleOrWrongRole}, ResponseCase{"XX000", Status::kError},
                     ResponseCase{"53300", Status::kOverloaded}, ResponseCase{"57P03", Status::kError}));
 
-// Guards against responses of more, or less, than one row.
-TEST(QueryResponse, MessagesOutOfOrderAreErrorsAndAnIncompleteResponseIsNone) {
+// Guards against accepting messages out of order, or a response without a row as a success.
+TEST(QueryResponse, OutOfOrderMessagesAreErrorsAndAResponseWithoutARowFails) {
   EXPECT_EQ(ErrorOfFirst({'Z', "I"}), ProtocolError::kReadyWithoutResponse);
   EXPECT_EQ(ErrorOfFirst({'D', std::string_view("\0\1\0\0\0\0", 6)}), ProtocolError::kUnexpectedRow);
   EXPECT_EQ(ErrorOfFirst({'G', ""}), ProtocolError::kUnexpectedResponseMessage);
@@ -83,47 +83,48 @@
   EXPECT_EQ(empty.outcome()->status, Status::kError);
 }
 
-// Guards against a healthy server taken for a dead one because too many routers asked it at once. For a
-// statement the code proves nothing.
-TEST(QueryResponse, ARejectedProbeIsNoFailure) {
-  for (const auto query : {QueryKind::kHealthCheck, QueryKind::kStatement}) {
-    QueryResponseReader reader(query);
+// Guards against treating a healthy server as failed because too many routers queried it at once. For a
+// statement the same code does not prove that it did not run.
+TEST(QueryResponse, RejectedHealthCheckMeansOverload) {
+  for (const auto kind : {QueryKind::kHealthCheck, QueryKind::kStatement}) {
+    QueryResponseReader reader(kind);
     EXPECT_FALSE(Completes(reader, {'E', std::string_view("SFATAL\0C57P03\0Mbusy\0\0", 21)}));
-    const bool probe = query == QueryKind::kHealthCheck;
-    EXPECT_EQ(reader.outcome()->status, probe ? Status::kOverloaded : Status::kError);
+    const bool is_health_check = kind == QueryKind::kHealthCheck;
+    EXPECT_EQ(reader.outcome()->status, is_health_check ? Status::kOverloaded : Status::kError);
   }
 }
 
-// Guards against a malformed response that is taken for the value: each part is checked to its end first.
-TEST(QueryResponse, AMalformedResponseIsNeverComplete) {
+// Guards against forwarding the value of a malformed response: each message is checked completely first.
+TEST(QueryResponse, MalformedResponseIsNeverComplete) {
   const std::string_view row("\0\1\0\0\0\1v", 7), tag("SELECT 1\0", 9);
-  const std::vector<Message> good = {{'T', kShape}, {'D', row}, {'C', tag}, {'Z', "I"}};
-  const auto refuses = [&](std::size_t at, const Message& malformed, ProtocolError expected) {
+  const std::vector<Message> valid_response = {{'T', kRowDescription}, {'D', row}, {'C', tag}, {'Z', "I"}};
+  const auto expect_error = [&](std::size_t valid_messages, const Message& malformed,
+                                ProtocolError expected) {
     QueryResponseReader reader;
-    for (std::size_t i = 0; i < at; ++i) EXPECT_FALSE(Completes(reader, good[i]));
-    EXPECT_EQ(ErrorOf(reader, malformed), expected) << at << malformed.type << malformed.body;
+    for (std::size_t i = 0; i < valid_messages; ++i) EXPECT_FALSE(Completes(reader, valid_response[i]));
+    EXPECT_EQ(ErrorOf(reader, malformed), expected) << valid_messages << malformed.type << malformed.body;
   };
-  QueryResponseReader whole;
-  for (const Message& m : good) EXPECT_EQ(Completes(whole, m), m.type == 'Z');
-  EXPECT_EQ(whole.outcome()->status, Status::kOk);
-  refuses(0, {'T', kShape.substr(0, 24)}, ProtocolError::kDescriptionSizeMismatch);
-  refuses(0, {'T', std::string_view("\0\2a\0", 4)}, ProtocolError::kDescriptionNotOfOneColumn);
-  refuses(0, {'E', std::string_view("SERROR\0C53300\0", 14)}, ProtocolError::kUnterminatedErrorFields);
-  refuses(0, {'E', std::string_view("C53300\0\0x", 9)}, ProtocolError::kTrailingBytesAfterError);
-  refuses(0, {'E', std::string_view("SERROR\0\0", 8)}, ProtocolError::kErrorWithoutCode);
-  refuses(0, {'S', std::string_view("pressure\0x0=1", 13)}, ProtocolError::kUnterminatedString);
-  refuses(1, {'D', row.substr(0, 6)}, ProtocolError::kRowSizeMismatch);
-  refuses(1, {'D', std::string_view("\0\1\xff\xff\xff\xff", 6)}, ProtocolError::kRowSizeMismatch);
-  refuses(2, {'D', row}, ProtocolError::kUnexpectedRow);
-  refuses(2, {'C', "SELECT 1"}, ProtocolError::kUnterminatedCommandTag);
-  refuses(3, {'T', kShape}, ProtocolError::kUnexpectedRowDescription);
-  refuses(3, {'D', row}, ProtocolError::kUnexpectedRow);
-  refuses(3, {'C', tag}, ProtocolError::kSecondEndOfResponse);
-  refuses(3, {'E', std::string_view("CXX000\0\0", 8)}, ProtocolError::kSecondEndOfResponse);
-  refuses(3, {'Z', "T"}, ProtocolError::kUnexpectedTransactionStatus);
+  QueryResponseReader valid_reader;
+  for (const Message& m : valid_response) EXPECT_EQ(Completes(valid_reader, m), m.type == 'Z');
+  EXPECT_EQ(valid_reader.outcome()->status, Status::kOk);
+  expect_error(0, {'T', kRowDescription.substr(0, 24)}, ProtocolError::kDescriptionSizeMismatch);
+  expect_error(0, {'T', std::string_view("\0\2a\0", 4)}, ProtocolError::kDescriptionNotSingleColumn);
+  expect_error(0, {'E', std::string_view("SERROR\0C53300\0", 14)}, ProtocolError::kUnterminatedErrorFields);
+  expect_error(0, {'E', std::string_view("C53300\0\0x", 9)}, ProtocolError::kTrailingBytesAfterError);
+  expect_error(0, {'E', std::string_view("SERROR\0\0", 8)}, ProtocolError::kErrorWithoutCode);
+  expect_error(0, {'S', std::string_view("pressure\0x0=1", 13)}, ProtocolError::kUnterminatedString);
+  expect_error(1, {'D', row.substr(0, 6)}, ProtocolError::kRowSizeMismatch);
+  expect_error(1, {'D', std::string_view("\0\1\xff\xff\xff\xff", 6)}, ProtocolError::kRowSizeMismatch);
+  expect_error(2, {'D', row}, ProtocolError::kUnexpectedRow);
+  expect_error(2, {'C', "SELECT 1"}, ProtocolError::kUnterminatedCommandTag);
+  expect_error(3, {'T', kRowDescription}, ProtocolError::kUnexpectedRowDescription);
+  expect_error(3, {'D', row}, ProtocolError::kUnexpectedRow);
+  expect_error(3, {'C', tag}, ProtocolError::kDuplicateEndOfResponse);
+  expect_error(3, {'E', std::string_view("CXX000\0\0", 8)}, ProtocolError::kDuplicateEndOfResponse);
+  expect_error(3, {'Z', "T"}, ProtocolError::kUnexpectedTransactionStatus);
 }
 
-TEST(Report, NumbersByName) {
+TEST(LoadReportParser, ParsesValuesByName) {
   const auto report = ParseLoadReport("x0=1767225600123.5,x1=1,util=0.61");
   ASSERT_EQ(report.size(), 3u);
   EXPECT_EQ(report[0], (LoadReportField{"x0", 1767225600123.5}));
--- a/tests/pg/sample_stream.hpp
+++ b/tests/pg/sample_stream.hpp
@@ -1,4 +1,4 @@
-// A stream of a server's messages that the tests of the codec share.
+// A stream of server messages that several tests of the codec use.
 #ifndef TULIPYOKE_TESTS_PG_SAMPLE_STREAM_HPP_
 #define TULIPYOKE_TESTS_PG_SAMPLE_STREAM_HPP_
 
--- a/tests/pg/session_command_test.cpp
+++ b/tests/pg/session_command_test.cpp
@@ -1,4 +1,4 @@
-// Statements that the router answers itself.
+// Recognition of the statements that the router answers itself.
 #include "src/pg/session_command.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/pg/statement_test.cpp
+++ b/tests/pg/statement_test.cpp
@@ -1,4 +1,4 @@
-// What is read from a statement, and which statements are refused.
+// Parsing of statements, and the rejection of unsupported ones.
 #include "src/pg/statement.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
     "SELECT blob FROM rows WHERE handle = '7f3a' /* "
     "id=9b1f,c=basket,t=acme,d=480,cluster=2,after=1767225600123 */";
 
-TEST(Statement, FieldsAreReadAndOnlyTheTimeoutIsRewritten) {
+TEST(Statement, FieldsAreParsedAndOnlyTheTimeoutIsReplaced) {
   const auto s = ParseStatement(kSelect);
   ASSERT_TRUE(s);
   EXPECT_EQ(s->class_name, "basket");
@@ -39,14 +39,14 @@
   EXPECT_TRUE(insert->is_retry);
 }
 
-// Guards against forwarding a statement in a form that no client sends.
-TEST(Statement, OtherFormsAreRefused) {
+// Guards against forwarding a statement that does not have one of the supported forms.
+TEST(Statement, UnsupportedFormsAreRejected) {
   const std::string select = "SELECT blob FROM rows WHERE handle = 'h' ";
   const std::string insert = "INSERT INTO rows (handle, blob) VALUES ('h', '\\x00') RETURNING blob ";
-  const std::string facts = "/* id=1,c=a,d=5 */";
-  EXPECT_TRUE(ParseStatement(select + facts));
-  EXPECT_FALSE(ParseStatement(select + facts)->is_write);
-  EXPECT_TRUE(ParseStatement(insert + facts)->is_write);
+  const std::string comment = "/* id=1,c=a,d=5 */";
+  EXPECT_TRUE(ParseStatement(select + comment));
+  EXPECT_FALSE(ParseStatement(select + comment)->is_write);
+  EXPECT_TRUE(ParseStatement(insert + comment)->is_write);
   for (const std::string& text :
        {std::string(),
         std::string("SELECT 1"),
@@ -54,14 +54,14 @@
         std::string("/*/"),
         std::string("*/"),
         select,
-        facts,
-        "S " + facts,
-        "DROP TABLE rows " + facts,
-        select + "; DROP TABLE rows " + facts,
-        "SELECT blob FROM rows WHERE handle = 'h " + facts,
-        "SELECT blob FROM rows WHERE handle = '' " + facts,
-        "INSERT INTO rows (handle, blob) VALUES ('h', 'zz') RETURNING blob " + facts,
-        "INSERT INTO rows (handle, blob) VALUES ('h', '\\x0') RETURNING blob " + facts,
+        comment,
+        "S " + comment,
+        "DROP TABLE rows " + comment,
+        select + "; DROP TABLE rows " + comment,
+        "SELECT blob FROM rows WHERE handle = 'h " + comment,
+        "SELECT blob FROM rows WHERE handle = '' " + comment,
+        "INSERT INTO rows (handle, blob) VALUES ('h', 'zz') RETURNING blob " + comment,
+        "INSERT INTO rows (handle, blob) VALUES ('h', '\\x0') RETURNING blob " + comment,
         select + "/* id=1,c=a */",
         select + "/* c=a,d=5 */",
         select + "/* id=,c=a,d=5 */",
