--- a/adapter/batch_decoder.cpp
+++ b/adapter/batch_decoder.cpp
@@ -77,10 +77,11 @@
   }
 }
 
-// Decodes one record. After an error decoding goes on with default values; the first error is the result.
+// Decodes one record. After an error, decoding continues with default values, and Decode returns the first
+// error.
 class RecordDecoder {
  public:
-  // `record` has kEventSize bytes; `tail` is what follows the batch's records.
+  // `record` has kEventRecordSize bytes; `tail` is the part of the body after the records.
   RecordDecoder(std::string_view record, std::string_view tail) : record_(record), tail_(tail) {}
 
   Decoded<Record> Decode() {
@@ -139,17 +140,17 @@
     event.remaining = record_.U32(26);
     event.group = DecodeGroup(34);
     event.ms_since_write = record_.F32(38);
-    event.is_retry = (record_.U16(42) & kRepeatFlag) != 0;
+    event.is_retry = (record_.U16(42) & kRetryFlag) != 0;
     return event;
   }
 
   AttemptEnded DecodeAttemptEnded() {
     AttemptEnded event;
     event.id = record_.U64(4);
-    // The role is in the two lowest bits; position 0 means that there is none.
+    // The two lowest bits are the role, the others the position; 0 means that there is no position.
     const std::uint32_t role_and_position = record_.U32(12);
-    event.role =
-        Checked(RoleFromCode(role_and_position % 4), FormatErrorCode::kUnknownRole, role_and_position % 4);
+    event.role = ValueOrFail(RoleFromCode(role_and_position % 4), FormatErrorCode::kUnknownRole,
+                             role_and_position % 4);
     if (role_and_position / 4 != 0) event.position_ms = role_and_position / 4;
     event.server = record_.U32(16);
     event.request_ended = record_.U8(20) != 0;
@@ -179,7 +180,8 @@
 
   ListAnnounced DecodeListAnnounced() {
     ListAnnounced event;
-    event.kind = Checked(ListKindFromCode(record_.U8(4)), FormatErrorCode::kUnknownListKind, record_.U8(4));
+    event.kind =
+        ValueOrFail(ListKindFromCode(record_.U8(4)), FormatErrorCode::kUnknownListKind, record_.U8(4));
     event.version = record_.U64(5);
     event.slot = record_.U32(13);
     return event;
@@ -188,7 +190,7 @@
   ListDefined DecodeListDefined() {
     ListDefined event;
     event.slot = record_.U32(2);
-    if (event.slot >= kListSlots) Fail(FormatErrorCode::kUnknownListSlot, event.slot);
+    if (event.slot >= kListSlotCount) Fail(FormatErrorCode::kUnknownListSlot, event.slot);
     const std::string_view entries = TailBytes(6, kEndpointEntrySize);
     for (std::size_t offset = 0; offset < entries.size(); offset += kEndpointEntrySize) {
       event.entries.push_back(DecodeEndpointEntry(entries.substr(offset, kEndpointEntrySize)));
@@ -202,7 +204,7 @@
     result.capacity_hint = entry.F32(0);
     result.zone = entry.U16(4);
     result.state =
-        Checked(ServerStateFromCode(entry.U8(6)), FormatErrorCode::kUnknownServerState, entry.U8(6));
+        ValueOrFail(ServerStateFromCode(entry.U8(6)), FormatErrorCode::kUnknownServerState, entry.U8(6));
     result.server = entry.U32(7);
     result.group = entry.U16(11);
     result.boot_time = static_cast<Micros>(entry.U64(13));
@@ -213,10 +215,10 @@
 
   Status DecodeStatus(std::size_t offset) {
     const std::uint16_t code = record_.U16(offset);
-    return Checked(StatusFromCode(code), FormatErrorCode::kUnknownOutcome, code);
+    return ValueOrFail(StatusFromCode(code), FormatErrorCode::kUnknownStatus, code);
   }
 
-  // A number of values in one byte, then the values.
+  // A load report is a count in one byte, followed by that many floats.
   Report DecodeReport(std::size_t offset) {
     const std::size_t count = record_.U8(offset);
     Report report;
@@ -228,15 +230,15 @@
     return report;
   }
 
-  // A group travels as a float.
+  // The group is encoded as a float.
   int DecodeGroup(std::size_t offset) {
     const float group = record_.F32(offset);
     if (group >= 0 && group <= std::numeric_limits<std::uint16_t>::max()) return static_cast<int>(group);
-    Fail(FormatErrorCode::kImpossibleGroup, 0);
+    Fail(FormatErrorCode::kInvalidGroup, 0);
     return 0;
   }
 
-  // The part of the tail that a field names by an offset in bytes and a count of units.
+  // Returns the part of the tail that a field refers to with an offset in bytes and a count of units.
   std::string_view TailBytes(std::size_t offset_of_field, std::size_t unit_size) {
     const std::uint64_t offset = record_.U32(offset_of_field);
     const std::uint64_t size = std::uint64_t{record_.U32(offset_of_field + 4)} * unit_size;
@@ -245,12 +247,14 @@
     return {};
   }
 
+  // Returns the value, or sets the error and returns a default value if there is none.
   template <typename Value>
-  Value Checked(std::optional<Value> value, FormatErrorCode code, std::uint64_t detail) {
+  Value ValueOrFail(std::optional<Value> value, FormatErrorCode code, std::uint64_t detail) {
     if (!value) Fail(code, detail);
     return value.value_or(Value{});
   }
 
+  // Sets the error unless there already is one.
   void Fail(FormatErrorCode code, std::uint64_t detail) {
     if (!error_) error_ = FormatError{code, detail, {}};
   }
@@ -270,8 +274,8 @@
   if (header.body_size > kMaxBodySize) {
     return FormatError{FormatErrorCode::kBatchTooLarge, header.body_size, {}};
   }
-  if (std::uint64_t{header.records} * kEventSize > header.body_size) {
-    return FormatError{FormatErrorCode::kBatchTooSmall, header.records, {}};
+  if (std::uint64_t{header.record_count} * kEventRecordSize > header.body_size) {
+    return FormatError{FormatErrorCode::kBatchTooSmall, header.record_count, {}};
   }
   if (header.now > static_cast<std::uint64_t>(std::numeric_limits<Micros>::max())) {
     return FormatError{FormatErrorCode::kClockOutOfRange, header.now, {}};
@@ -280,11 +284,11 @@
 }
 
 Decoded<Record> DecodeRecord(const BatchHeader& header, std::string_view body, std::uint32_t index) {
-  const std::size_t tail_offset = std::size_t{header.records} * kEventSize;
-  if (index >= header.records || body.size() < tail_offset) {
+  const std::size_t tail_offset = std::size_t{header.record_count} * kEventRecordSize;
+  if (index >= header.record_count || body.size() < tail_offset) {
     return FormatError{FormatErrorCode::kRecordOutsideBody, index, {}};
   }
-  const std::string_view record = body.substr(std::size_t{index} * kEventSize, kEventSize);
+  const std::string_view record = body.substr(std::size_t{index} * kEventRecordSize, kEventRecordSize);
   return RecordDecoder(record, body.substr(tail_offset)).Decode();
 }
 
--- a/adapter/batch_decoder.hpp
+++ b/adapter/batch_decoder.hpp
@@ -1,4 +1,4 @@
-// Decodes batches of the simulator's wire into events for the router instances.
+// Decodes batches of the simulator's wire format into events for the router instances.
 #ifndef TULIPYOKE_ADAPTER_BATCH_DECODER_HPP_
 #define TULIPYOKE_ADAPTER_BATCH_DECODER_HPP_
 
@@ -15,33 +15,36 @@
 
 struct BatchHeader {
   std::uint32_t number = 0;
-  std::uint64_t now = 0;  // clock time in microseconds
+  std::uint64_t now = 0;  // time in microseconds
   std::uint32_t body_size = 0;
-  std::uint32_t records = 0;
+  std::uint32_t record_count = 0;
 };
 
-// An instance starts, or starts anew without what it knew.
+// An instance starts. An instance that already runs is replaced by a new one without any state.
 struct InstanceStarted {
   std::uint64_t seed = 0;
-  std::string_view options;  // settings, see settings_parser.hpp; points into the body
+  std::string_view settings_text;  // see settings_parser.hpp; points into the body
 };
 
+// An instance stops.
 struct InstanceStopped {};
 
-// A list of servers is stored in a slot for the ListAnnounced events that follow, also in later batches.
+// An endpoint list is stored in a slot. ListAnnounced records in this batch and in later ones refer to the
+// slot.
 struct ListDefined {
   std::uint32_t slot = 0;
   std::vector<EndpointEntry> entries;
 };
 
-// An instance is given the list in a slot. A list of kind kFailed has no entries and any slot.
+// An instance receives the endpoint list in a slot. A list of kind kFailed has no entries; its slot is
+// ignored.
 struct ListAnnounced {
   EndpointListKind kind = EndpointListKind::kFull;
   std::uint64_t version = 0;
   std::uint32_t slot = 0;
 };
 
-// The adapter handles all but Event itself.
+// An Event is passed to the instance's router. The adapter handles all other payloads itself.
 using Payload = std::variant<InstanceStarted, InstanceStopped, ListDefined, ListAnnounced, Event>;
 
 struct Record {
--- a/adapter/big_endian.hpp
+++ b/adapter/big_endian.hpp
@@ -1,4 +1,4 @@
-// Big-endian integers and floats in strings of bytes.
+// Decoding of big-endian integers and floats, and encoding of big-endian integers.
 #ifndef TULIPYOKE_ADAPTER_BIG_ENDIAN_HPP_
 #define TULIPYOKE_ADAPTER_BIG_ENDIAN_HPP_
 
@@ -10,8 +10,8 @@
 
 namespace tulipyoke::wire {
 
-// Reads values at byte offsets of one record. The record must be as long as its format says; an offset
-// outside of it is a programming error and throws std::out_of_range. Does not own the bytes.
+// Reads values at byte offsets of one record. An offset outside of the record is a programming error and
+// throws std::out_of_range. Does not own the bytes.
 class BigEndianReader {
  public:
   explicit BigEndianReader(std::string_view bytes) : bytes_(bytes) {}
@@ -35,7 +35,7 @@
   std::string_view bytes_;
 };
 
-// Appends an unsigned integer in all its bytes.
+// Appends all bytes of an unsigned integer, the most significant one first.
 template <typename Integer>
 void AppendBigEndian(std::string& out, Integer value) {
   for (std::size_t byte = sizeof(Integer); byte-- > 0;) {
--- a/adapter/format_error.cpp
+++ b/adapter/format_error.cpp
@@ -6,33 +6,33 @@
   const std::string detail = std::to_string(error.detail);
   switch (error.code) {
     case FormatErrorCode::kHeaderTruncated:
-      return "a batch's header is incomplete";
+      return "the header of a batch is incomplete";
     case FormatErrorCode::kBatchTooLarge:
       return "a batch of " + detail + " bytes is too large";
     case FormatErrorCode::kBatchTooSmall:
-      return "a batch is too small for its " + detail + " records";
+      return "a batch is too small for " + detail + " records";
     case FormatErrorCode::kClockOutOfRange:
-      return "the clock is out of range";
+      return "the time of a batch is out of range";
     case FormatErrorCode::kRecordOutsideBody:
-      return "record " + detail + " lies outside its batch";
+      return "record " + detail + " is outside its batch";
     case FormatErrorCode::kFieldOutsideTail:
-      return "a field points outside the tail (offset " + detail + ")";
+      return "a field refers to bytes outside the tail (offset " + detail + ")";
     case FormatErrorCode::kUnknownEventCode:
-      return "no event has the code " + detail;
-    case FormatErrorCode::kUnknownOutcome:
-      return "no outcome has the number " + detail;
+      return "unknown event code " + detail;
+    case FormatErrorCode::kUnknownStatus:
+      return "unknown status code " + detail;
     case FormatErrorCode::kUnknownListKind:
-      return "no endpoint list is of kind " + detail;
+      return "unknown endpoint list kind " + detail;
     case FormatErrorCode::kUnknownListSlot:
-      return "no list has the number " + detail;
+      return "unknown endpoint list slot " + detail;
     case FormatErrorCode::kUnknownServerState:
-      return "a list entry has the state " + detail;
+      return "unknown server state " + detail;
     case FormatErrorCode::kUnknownRole:
-      return "an attempt's role is " + detail;
+      return "unknown role code " + detail;
     case FormatErrorCode::kReportTooLong:
-      return "a load report says it has " + detail + " values";
-    case FormatErrorCode::kImpossibleGroup:
-      return "a request names no possible group";
+      return "a load report with " + detail + " values is too long";
+    case FormatErrorCode::kInvalidGroup:
+      return "a request has an invalid group";
     case FormatErrorCode::kSettingsLineInvalid:
       return "a settings line has no '=': " + error.text;
     case FormatErrorCode::kSettingsInvalid:
--- a/adapter/format_error.hpp
+++ b/adapter/format_error.hpp
@@ -1,4 +1,4 @@
-// What can be wrong with the bytes that the simulator sends.
+// Errors in the bytes that the simulator sends.
 #ifndef TULIPYOKE_ADAPTER_FORMAT_ERROR_HPP_
 #define TULIPYOKE_ADAPTER_FORMAT_ERROR_HPP_
 
@@ -9,22 +9,22 @@
 namespace tulipyoke::wire {
 
 enum class FormatErrorCode {
-  kHeaderTruncated,  // fewer bytes than a batch's header has
-  kBatchTooLarge,    // detail: bytes of the body
-  kBatchTooSmall,    // detail: event records that do not fit in the body
+  kHeaderTruncated,  // fewer bytes than the header of a batch has
+  kBatchTooLarge,    // detail: size of the body in bytes
+  kBatchTooSmall,    // detail: number of records, which do not fit in the body
   kClockOutOfRange,
   kRecordOutsideBody,  // detail: index of the record
-  kFieldOutsideTail,   // detail: offset that the field names
-  kUnknownEventCode,   // detail: the code; so below
-  kUnknownOutcome,
+  kFieldOutsideTail,   // detail: offset that the field refers to
+  kUnknownEventCode,   // detail: the unknown value, also in the next five
+  kUnknownStatus,
   kUnknownListKind,
   kUnknownListSlot,
   kUnknownServerState,
   kUnknownRole,
   kReportTooLong,  // detail: number of values
-  kImpossibleGroup,
+  kInvalidGroup,
   kSettingsLineInvalid,  // text: the line
-  kSettingsInvalid,      // text: what is wrong with which setting
+  kSettingsInvalid,      // text: the setting and what is wrong with it
 };
 
 struct FormatError {
@@ -33,10 +33,10 @@
   std::string text;
 };
 
-// One line without a newline, for the error output.
+// Returns one line for standard error, without a newline.
 std::string ToString(const FormatError& error);
 
-// A decoded value, or why there is none.
+// A decoded value, or the error that was found in the input.
 template <typename Value>
 using Decoded = std::variant<Value, FormatError>;
 
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,5 +1,5 @@
-// Simulator adapter: reads batches on standard input and writes one reply to each on standard output, until
-// input ends. Input that cannot be decoded ends the process with status 1 and one line on standard error.
+// Simulator adapter: reads batches from standard input and writes a reply to each one to standard output,
+// until the end of input. After an error it prints one line to standard error and exits with status 1.
 #include <cstddef>
 #include <cstdio>
 #include <exception>
@@ -23,8 +23,9 @@
   return kFailure;
 }
 
-// Fills `bytes` from standard input and returns how many bytes there were.
-std::size_t ReadInto(std::string& bytes) { return std::fread(bytes.data(), 1, bytes.size(), stdin); }
+// Fills `bytes` from standard input and returns the number of bytes read, which is smaller at the end of
+// input.
+std::size_t ReadStdin(std::string& bytes) { return std::fread(bytes.data(), 1, bytes.size(), stdin); }
 
 bool WriteReply(const std::string& reply) {
   const std::size_t written = std::fwrite(reply.data(), 1, reply.size(), stdout);
@@ -36,20 +37,21 @@
   std::string header_bytes(wire::kBatchHeaderSize, '\0');
   std::string body;
   for (;;) {
-    const std::size_t received = ReadInto(header_bytes);
+    const std::size_t received = ReadStdin(header_bytes);
     if (received == 0) return kSuccess;
-    if (received < header_bytes.size()) return ReportFailure("input ends within a batch's header");
+    if (received < header_bytes.size()) return ReportFailure("input ends inside the header of a batch");
 
     const wire::Decoded<wire::BatchHeader> decoded = wire::DecodeBatchHeader(header_bytes);
     if (const auto* error = std::get_if<wire::FormatError>(&decoded)) return ReportFailure(ToString(*error));
     const auto& header = std::get<wire::BatchHeader>(decoded);
 
     body.resize(header.body_size);
-    if (ReadInto(body) < body.size()) return ReportFailure("input ends within a batch");
+    if (ReadStdin(body) < body.size()) return ReportFailure("input ends inside the body of a batch");
 
     const wire::Decoded<std::string> reply = instances.HandleBatch(header, body);
     if (const auto* error = std::get_if<wire::FormatError>(&reply)) return ReportFailure(ToString(*error));
-    if (!WriteReply(std::get<std::string>(reply))) return ReportFailure("the reply cannot be written");
+    if (!WriteReply(std::get<std::string>(reply)))
+      return ReportFailure("cannot write the reply to standard output");
   }
 }
 
--- a/adapter/reply_encoder.cpp
+++ b/adapter/reply_encoder.cpp
@@ -11,88 +11,88 @@
 namespace tulipyoke::wire {
 namespace {
 
-std::uint32_t DurationField(Micros duration) {
+std::uint32_t ToDurationField(Micros duration) {
   return static_cast<std::uint32_t>(
       std::clamp<Micros>(duration, 0, std::numeric_limits<std::uint32_t>::max()));
 }
 
-// Collects action records and the tail that they refer to.
+// Encodes action records and the tail that they refer to.
 class ActionWriter {
  public:
   void Write(const InstanceAction& action) {
     const std::size_t start = records_.size();
     instance_ = action.instance;
-    std::visit([this](const auto& alternative) { Put(alternative); }, action.action);
-    records_.resize(start + kActionSize, '\0');
+    std::visit([this](const auto& alternative) { Encode(alternative); }, action.action);
+    records_.resize(start + kActionRecordSize, '\0');
   }
 
   const std::string& records() const { return records_; }
   const std::string& tail() const { return tail_; }
 
  private:
-  void Put(const Action& action) {
-    std::visit([this](const auto& alternative) { Put(alternative); }, action);
+  void Encode(const Action& action) {
+    std::visit([this](const auto& alternative) { Encode(alternative); }, action);
   }
 
-  void Put(const Send& action) {
+  void Encode(const Send& action) {
     BeginRecord(ActionCode::kSend);
     AppendBigEndian(records_, action.id);
     AppendBigEndian(records_, action.server);
-    AppendBigEndian(records_, DurationField(action.timeout));
+    AppendBigEndian(records_, ToDurationField(action.timeout));
   }
 
-  void Put(const Reject& action) {
+  void Encode(const Reject& action) {
     BeginRecord(ActionCode::kReject);
     AppendBigEndian(records_, action.id);
-    AppendBigEndian(records_, DurationField(action.retry_after));
+    AppendBigEndian(records_, ToDurationField(action.retry_after));
   }
 
-  void Put(const Fail& action) {
+  void Encode(const Fail& action) {
     BeginRecord(ActionCode::kFail);
     AppendBigEndian(records_, action.id);
   }
 
-  void Put(const Cancel& action) {
+  void Encode(const Cancel& action) {
     BeginRecord(ActionCode::kCancel);
     AppendBigEndian(records_, action.id);
     AppendBigEndian(records_, static_cast<std::uint8_t>(action.attempt));
   }
 
-  void Put(const SetTimer& action) {
+  void Encode(const SetTimer& action) {
     BeginRecord(ActionCode::kSetTimer);
-    AppendBigEndian(records_, DurationField(action.delay));
+    AppendBigEndian(records_, ToDurationField(action.delay));
     AppendBigEndian(records_, action.token);
   }
 
-  void Put(const CheckHealth& action) {
+  void Encode(const CheckHealth& action) {
     BeginRecord(ActionCode::kCheckHealth);
     AppendBigEndian(records_, action.server);
   }
 
-  void Put(const CloseIdle& action) {
+  void Encode(const CloseIdle& action) {
     BeginRecord(ActionCode::kCloseIdle);
     AppendBigEndian(records_, action.server);
   }
 
-  void Put(const Gossip& action) {
+  void Encode(const Gossip& action) {
     BeginRecord(ActionCode::kGossip);
     AppendBigEndian(records_, action.peer ? static_cast<std::uint32_t>(*action.peer) : kAllPeers);
     AppendText(action.bytes);
   }
 
-  void Put(const Log& action) {
+  void Encode(const Log& action) {
     BeginRecord(ActionCode::kLog);
     AppendText(action.text);
   }
 
-  void Put(const WatchEndpointList& action) {
+  void Encode(const WatchEndpointList& action) {
     BeginRecord(ActionCode::kWatchEndpointList);
     AppendBigEndian(records_, static_cast<std::uint8_t>(action.on ? 1 : 0));
   }
 
-  void Put(const FetchEndpointList&) { BeginRecord(ActionCode::kFetchEndpointList); }
+  void Encode(const FetchEndpointList&) { BeginRecord(ActionCode::kFetchEndpointList); }
 
-  void Put(const InstanceFailed& action) {
+  void Encode(const InstanceFailed& action) {
     BeginRecord(ActionCode::kInstanceFailed);
     AppendText(action.reason);
   }
@@ -102,14 +102,14 @@
     AppendBigEndian(records_, instance_);
   }
 
-  // Text goes to the tail; its offset and size to the record.
+  // Appends the text to the tail, and its offset and size to the record.
   void AppendText(std::string_view text) {
     AppendBigEndian(records_, static_cast<std::uint32_t>(tail_.size()));
     AppendBigEndian(records_, static_cast<std::uint32_t>(text.size()));
     tail_ += text;
   }
 
-  std::uint16_t instance_ = 0;  // of the record that is being written
+  std::uint16_t instance_ = 0;  // instance of the record that is being written
   std::string records_;
   std::string tail_;
 };
--- a/adapter/reply_encoder.hpp
+++ b/adapter/reply_encoder.hpp
@@ -1,4 +1,4 @@
-// Encodes the actions of router instances as a reply of the simulator's wire.
+// Encodes the actions of router instances as a reply in the simulator's wire format.
 #ifndef TULIPYOKE_ADAPTER_REPLY_ENCODER_HPP_
 #define TULIPYOKE_ADAPTER_REPLY_ENCODER_HPP_
 
@@ -11,7 +11,7 @@
 
 namespace tulipyoke::wire {
 
-// An instance threw an exception while it handled an event.
+// Reports that a router threw an exception while it handled an event.
 struct InstanceFailed {
   std::string reason;
 };
@@ -21,8 +21,8 @@
   std::variant<Action, InstanceFailed> action;
 };
 
-// Returns the bytes of the reply to batch `number`. Durations are limited to what 32 bits of microseconds
-// hold.
+// Returns the bytes of the reply to batch `number`. Durations are clamped to the range of 32 bits of
+// microseconds.
 std::string EncodeReply(std::uint32_t number, const std::vector<InstanceAction>& actions);
 
 }  // namespace tulipyoke::wire
--- a/adapter/router_instances.cpp
+++ b/adapter/router_instances.cpp
@@ -11,7 +11,7 @@
 Decoded<std::string> RouterInstances::HandleBatch(const BatchHeader& header, std::string_view body) {
   const auto now = static_cast<Micros>(header.now);
   Actions actions;
-  for (std::uint32_t index = 0; index < header.records; ++index) {
+  for (std::uint32_t index = 0; index < header.record_count; ++index) {
     Decoded<Record> decoded = DecodeRecord(header, body, index);
     if (const auto* error = std::get_if<FormatError>(&decoded)) return *error;
     if (const auto error = HandleRecord(now, std::get<Record>(decoded), actions)) return *error;
@@ -37,7 +37,7 @@
 }
 
 std::optional<FormatError> RouterInstances::Start(std::uint16_t instance, const InstanceStarted& started) {
-  const Decoded<Settings> settings = ParseSettings(started.options);
+  const Decoded<Settings> settings = ParseSettings(started.settings_text);
   if (const auto* error = std::get_if<FormatError>(&settings)) return *error;
   routers_.insert_or_assign(instance, Router(std::get<Settings>(settings), started.seed));
   return std::nullopt;
@@ -52,7 +52,7 @@
                                                          const ListAnnounced& announced, Actions& actions) {
   EndpointListUpdate update{announced.kind, announced.version, {}};
   if (announced.kind != EndpointListKind::kFailed) {
-    if (announced.slot >= kListSlots) {
+    if (announced.slot >= kListSlotCount) {
       return FormatError{FormatErrorCode::kUnknownListSlot, announced.slot, {}};
     }
     update.entries = lists_.at(announced.slot);
--- a/adapter/router_instances.hpp
+++ b/adapter/router_instances.hpp
@@ -1,4 +1,4 @@
-// The router instances of one simulator process, by their numbers.
+// The router instances of one simulator process.
 #ifndef TULIPYOKE_ADAPTER_ROUTER_INSTANCES_HPP_
 #define TULIPYOKE_ADAPTER_ROUTER_INSTANCES_HPP_
 
@@ -18,11 +18,11 @@
 
 namespace tulipyoke::wire {
 
-// Owns the routers and the lists that batches define. Not thread-safe.
+// Owns the routers by instance number, and the endpoint lists that batches define. Not thread-safe.
 class RouterInstances {
  public:
-  // Hands the batch's records to their instances, in order, and returns the bytes of the reply. After an
-  // error the records before it have been handled, and no reply may be sent.
+  // Handles the batch's records in order and returns the bytes of the reply. If it returns an error, the
+  // records before the bad one have been handled, and no reply may be sent.
   Decoded<std::string> HandleBatch(const BatchHeader& header, std::string_view body);
 
  private:
@@ -30,15 +30,15 @@
 
   std::optional<FormatError> HandleRecord(Micros now, Record& record, Actions& actions);
   std::optional<FormatError> Start(std::uint16_t instance, const InstanceStarted& started);
-  // Removes the instance and what it has asked for in this batch.
+  // Removes the instance and the actions that it requested in this batch.
   void Stop(std::uint16_t instance, Actions& actions);
   std::optional<FormatError> AnnounceList(Micros now, std::uint16_t instance, const ListAnnounced& announced,
                                           Actions& actions);
-  // Events for an instance that does not run are dropped.
+  // Passes the event to the instance's router. Events for an instance that is not running are dropped.
   void Deliver(Micros now, std::uint16_t instance, const Event& event, Actions& actions);
 
   std::map<std::uint16_t, Router> routers_;
-  std::array<std::vector<EndpointEntry>, kListSlots> lists_;
+  std::array<std::vector<EndpointEntry>, kListSlotCount> lists_;
 };
 
 }  // namespace tulipyoke::wire
--- a/adapter/settings_parser.hpp
+++ b/adapter/settings_parser.hpp
@@ -1,4 +1,4 @@
-// Parses the settings of a router instance from the `path=value` lines of the simulator's wire.
+// Parses the settings of a router instance from the `path=value` lines in the simulator's wire format.
 #ifndef TULIPYOKE_ADAPTER_SETTINGS_PARSER_HPP_
 #define TULIPYOKE_ADAPTER_SETTINGS_PARSER_HPP_
 
@@ -9,7 +9,7 @@
 
 namespace tulipyoke::wire {
 
-// Ignores unknown paths and empty lines; of a path that occurs twice the last line counts.
+// Ignores unknown paths and empty lines. If a path occurs more than once, the last line wins.
 Decoded<Settings> ParseSettings(std::string_view text);
 
 }  // namespace tulipyoke::wire
--- a/adapter/wire_format.hpp
+++ b/adapter/wire_format.hpp
@@ -1,8 +1,8 @@
-// Sizes and numbers of the simulator's wire format. All integers are big-endian.
+// Sizes and codes of the simulator's wire format. All integers are big-endian.
 //
-// A batch is a header of kBatchHeaderSize bytes and a body: event records of kEventSize bytes each, then a
-// tail that records refer to by offset and length. The reply is a header of kReplyHeaderSize bytes and a body
-// of the same shape with action records of kActionSize bytes.
+// A batch is a header of kBatchHeaderSize bytes and a body: event records of kEventRecordSize bytes each,
+// followed by a tail that the records refer to by offset and size. The reply is a header of kReplyHeaderSize
+// bytes and a body of the same structure with action records of kActionRecordSize bytes.
 #ifndef TULIPYOKE_ADAPTER_WIRE_FORMAT_HPP_
 #define TULIPYOKE_ADAPTER_WIRE_FORMAT_HPP_
 
@@ -14,19 +14,19 @@
 // Sizes in bytes.
 inline constexpr std::size_t kBatchHeaderSize = 20;
 inline constexpr std::size_t kReplyHeaderSize = 12;
-inline constexpr std::size_t kEventSize = 48;
-inline constexpr std::size_t kActionSize = 24;
+inline constexpr std::size_t kEventRecordSize = 48;
+inline constexpr std::size_t kActionRecordSize = 24;
 inline constexpr std::size_t kEndpointEntrySize = 26;
 inline constexpr std::size_t kMaxBodySize = std::size_t{1} << 28;
 
-// Numbered lists of servers that a batch can define and refer to later.
-inline constexpr std::uint32_t kListSlots = 16;
-// Values that a load report has at most.
+// The number of slots that store endpoint lists for later records and batches.
+inline constexpr std::uint32_t kListSlotCount = 16;
+// The maximum number of values in a load report.
 inline constexpr std::size_t kMaxReportValues = 4;
-// The peer number that means every peer.
+// The peer number that addresses all peers.
 inline constexpr std::uint32_t kAllPeers = 0xffffffff;
-// The bit of a request's flags that marks a repetition by the client.
-inline constexpr std::uint16_t kRepeatFlag = 2;
+// The bit of a request's flags that marks a retry by the client.
+inline constexpr std::uint16_t kRetryFlag = 2;
 
 enum class EventCode : std::uint16_t {
   kPeerMessage = 1000,
--- a/tests/adapter/hex.hpp
+++ b/tests/adapter/hex.hpp
@@ -1,4 +1,4 @@
-// Hexadecimal text to bytes and back, for tests of binary formats.
+// Conversion between hexadecimal text and bytes, for tests of binary formats.
 #ifndef TULIPYOKE_TESTS_ADAPTER_HEX_HPP_
 #define TULIPYOKE_TESTS_ADAPTER_HEX_HPP_
 
@@ -9,7 +9,7 @@
 
 namespace tulipyoke::wire {
 
-// Returns the bytes that pairs of hexadecimal digits name; spaces between digits are ignored.
+// Returns the bytes that pairs of hexadecimal digits encode. Spaces are ignored.
 inline std::string FromHex(std::string_view hex) {
   std::string bytes;
   std::string digits;
@@ -24,7 +24,7 @@
   return bytes;
 }
 
-// Returns two lower-case hexadecimal digits for each byte.
+// Returns two lower-case hexadecimal digits per byte.
 inline std::string ToHex(std::string_view bytes) {
   constexpr std::string_view kDigits = "0123456789abcdef";
   std::string hex;
@@ -36,9 +36,9 @@
   return hex;
 }
 
-// Returns `bytes` filled up with zeros to `size`, as the fixed-size records of the wire are.
+// Returns `bytes` padded with zeros to `size`, the fixed size of a record in the wire format.
 inline std::string PadRecord(std::string bytes, std::size_t size) {
-  if (bytes.size() > size) throw std::invalid_argument("a record that is too long");
+  if (bytes.size() > size) throw std::invalid_argument("the record is too long");
   bytes.resize(size, '\0');
   return bytes;
 }
