--- a/src/pg/message_reader.hpp
+++ b/src/pg/message_reader.hpp
@@ -52,12 +52,12 @@
   std::optional<std::size_t> PendingMessageSize() const;
   // Allocates memory for the next message. `size` includes the header.
   void Reserve(std::size_t size) { bytes_.reserve(consumed_ + size); }
-  // Returns the body of the message that Next returned last, as a string of its own. A large body is moved
-  // out of the reader instead of copied.
+  // Returns `body`, a view into the message that Next returned last, as a string. A large body is moved out
+  // of the reader instead of copied.
   std::string TakeBody(std::string_view body);
   // If the next message is a row whose value is streamed, consumes the row's header and returns the size of
-  // the value, which is then read with TakeValue. Returns none for any other message, and if error() is set
-  // because the row does not have exactly one column that fills it.
+  // the value, which is then read with TakeValue. Returns none if the row's header is incomplete, for any
+  // other message, and with error() set if the row does not have exactly one column that fills it.
   std::optional<std::size_t> NextLargeRow();
   // Returns the buffered bytes of a streamed value that has `remaining` bytes left, and consumes them. They
   // are valid until the next call on the reader.
