--- a/src/listener/client_messages.cpp
+++ b/src/listener/client_messages.cpp
@@ -175,7 +175,7 @@
   request.timeout = statement.timeout_ms * kMicrosPerMilli;
   request.arrival_time = client->message_arrived_at;
   request.preceding_write = PrecedingWrite(*client, request.session_key);
-  if (is_session_read) request.last_write_unix_ms = statement.read_after_ms;
+  if (is_session_read) request.last_write_unix_ms = statement.last_write_unix_ms;
   request.is_retry = statement.is_retry;
 
   PendingResponse& response = AddPendingResponse(*client);
