--- a/src/cli/browse_command.cpp
+++ b/src/cli/browse_command.cpp
@@ -10,7 +10,7 @@
 #include "src/cli/exit_status.hpp"
 #include "src/config/config.hpp"
 #include "src/config/config_error.hpp"
-#include "src/discovery/dns_sd_discovery.hpp"
+#include "src/discovery/service_discovery.hpp"
 #include "src/event_loop/loop_clock.hpp"
 
 namespace tulipyoke::cli {
@@ -81,7 +81,7 @@
     }
   }
   bool AllReported() const {
-    for (const auto& zone : directory_.Zones()) {
+    for (const auto& zone : directory_.ZoneStatuses()) {
       if (zone.browser.accepted_lists == 0) return false;
     }
     return reported_;
@@ -93,7 +93,7 @@
   net::LoopClock clock_;
   Micros start_;
   bool reported_ = false;
-  discovery::DnsSdDiscovery directory_;
+  discovery::ServiceDiscovery directory_;
 };
 
 }  // namespace
--- a/src/discovery/poll_backoff.cpp
+++ b/src/discovery/reconnect_backoff.cpp
@@ -1,4 +1,4 @@
-#include "src/discovery/poll_backoff.hpp"
+#include "src/discovery/reconnect_backoff.hpp"
 
 #include <algorithm>
 
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-PollBackoff::PollBackoff(const Settings& settings, std::uint64_t seed)
+ReconnectBackoff::ReconnectBackoff(const Settings& settings, std::uint64_t seed)
     : initial_delay_(kInitialDelay), random_(seed) {
   if (settings.poll_endpoint_list) {
     max_doublings_ = kMaxDoublings;
@@ -37,7 +37,7 @@
       std::clamp(settings.drain_timeout / kAgentResponseDivisor, kMinAgentResponse, kMaxAgentResponse);
 }
 
-Micros PollBackoff::NextDelay() {
+Micros ReconnectBackoff::NextDelay() {
   const int doublings = std::min(failures_, max_doublings_);
   ++failures_;
   const Micros spread = std::min(initial_spread_ << doublings, max_spread_);
--- a/src/discovery/poll_backoff.hpp
+++ b/src/discovery/reconnect_backoff.hpp
@@ -11,8 +11,8 @@
 // router's are spread at random, by a seed of its own. An agent, on the other hand, answers at once and at no
 // cost, or not at all while it is down: it is retried at a constant interval, a small part of the drain
 // timeout.
-#ifndef TULIPYOKE_SRC_DISCOVERY_POLL_BACKOFF_HPP_
-#define TULIPYOKE_SRC_DISCOVERY_POLL_BACKOFF_HPP_
+#ifndef TULIPYOKE_SRC_DISCOVERY_RECONNECT_BACKOFF_HPP_
+#define TULIPYOKE_SRC_DISCOVERY_RECONNECT_BACKOFF_HPP_
 
 #include <cstdint>
 #include <random>
@@ -22,7 +22,7 @@
 namespace tulipyoke::discovery {
 
 // Times are microseconds. Not thread-safe.
-class PollBackoff {
+class ReconnectBackoff {
  public:
   // The registry sends an empty line at this interval.
   static constexpr Micros kHeartbeatInterval = 2'000'000;
@@ -31,7 +31,7 @@
   static constexpr Micros kHeartbeatTimeout = 2 * kHeartbeatInterval + kHeartbeatInterval / 4;
 
   // `seed`: of the random spread; another one for each router.
-  PollBackoff(const Settings& settings, std::uint64_t seed);
+  ReconnectBackoff(const Settings& settings, std::uint64_t seed);
 
   // From the request to the head of the response.
   Micros response_timeout() const { return response_timeout_; }
@@ -54,4 +54,4 @@
 
 }  // namespace tulipyoke::discovery
 
-#endif  // TULIPYOKE_SRC_DISCOVERY_POLL_BACKOFF_HPP_
+#endif  // TULIPYOKE_SRC_DISCOVERY_RECONNECT_BACKOFF_HPP_
--- a/src/discovery/registry_watch.cpp
+++ b/src/discovery/registry_watch.cpp
@@ -36,7 +36,7 @@
 };
 
 RegistryWatch::RegistryWatch(asio::io_context& io, OnUpdate on_update, const std::string& address,
-                             std::uint64_t version, const PollBackoff& backoff)
+                             std::uint64_t version, const ReconnectBackoff& backoff)
     : io_(io),
       on_update_(std::move(on_update)),
       endpoint_(address.empty() ? asio::ip::tcp::endpoint() : net::ToEndpoint(address)),
@@ -180,9 +180,10 @@
 void RegistryWatch::RestartHeartbeatTimer(const ConnectionPtr& connection) {
   // The former connection ends with the first update of the new one, or by itself.
   if (connection != current_) return;
-  silence_timer_.ExpireAfter(std::chrono::microseconds(PollBackoff::kHeartbeatTimeout), [this, connection] {
-    Disconnect(connection, {Kind::kHeartbeatTimeout, {}});
-  });
+  silence_timer_.ExpireAfter(std::chrono::microseconds(ReconnectBackoff::kHeartbeatTimeout),
+                             [this, connection] {
+                               Disconnect(connection, {Kind::kHeartbeatTimeout, {}});
+                             });
 }
 
 void RegistryWatch::Close(ConnectionPtr& connection) {
--- a/src/discovery/registry_watch.hpp
+++ b/src/discovery/registry_watch.hpp
@@ -9,7 +9,7 @@
 #include <memory>
 #include <string>
 
-#include "src/discovery/poll_backoff.hpp"
+#include "src/discovery/reconnect_backoff.hpp"
 #include "src/discovery/watch_failure.hpp"
 #include "src/discovery/watch_response_parser.hpp"
 #include "src/dispatch/endpoint_list.hpp"
@@ -31,7 +31,7 @@
   // Watches the registry at `address` for changes since `version`. An empty address: there is nothing to
   // watch. Throws std::runtime_error where the address is invalid.
   RegistryWatch(asio::io_context& io, OnUpdate on_update, const std::string& address, std::uint64_t version,
-                const PollBackoff& backoff);
+                const ReconnectBackoff& backoff);
   ~RegistryWatch() = default;
   RegistryWatch(const RegistryWatch&) = delete;
   RegistryWatch& operator=(const RegistryWatch&) = delete;
@@ -74,7 +74,7 @@
   net::CancellableTimer retry_timer_;
   ConnectionPtr current_;  // null: disconnected
   ConnectionPtr former_;   // to the address before, until the new one has brought an update
-  PollBackoff backoff_;
+  ReconnectBackoff backoff_;
   bool stopped_ = false;
 };
 
--- a/src/discovery/dns_sd_discovery.cpp
+++ b/src/discovery/service_discovery.cpp
@@ -1,4 +1,4 @@
-#include "src/discovery/dns_sd_discovery.hpp"
+#include "src/discovery/service_discovery.hpp"
 
 #include <algorithm>
 #include <compare>
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-struct DnsSdDiscovery::Zone {
+struct ServiceDiscovery::Zone {
   Zone(std::size_t index, const std::string& source_name, const DnsSdSource& source, std::size_t max_queries)
       : source_index(index),
         name(source_name),
@@ -57,8 +57,8 @@
   std::map<AttemptKey, std::shared_ptr<DnsTransaction>> transactions;  // in flight
 };
 
-DnsSdDiscovery::DnsSdDiscovery(asio::io_context& io, net::LoopClock& clock, const MembershipConfig& config,
-                               OnUpdate on_update)
+ServiceDiscovery::ServiceDiscovery(asio::io_context& io, net::LoopClock& clock,
+                                   const MembershipConfig& config, OnUpdate on_update)
     : io_(io),
       clock_(clock),
       config_(config),
@@ -69,9 +69,9 @@
   asio::post(io_, [this] { Pump(); });
 }
 
-DnsSdDiscovery::~DnsSdDiscovery() { Stop(); }
+ServiceDiscovery::~ServiceDiscovery() { Stop(); }
 
-void DnsSdDiscovery::AddSources() {
+void ServiceDiscovery::AddSources() {
   const std::vector<SourceConfig>& sources = config_.sources;
   const auto zones = static_cast<std::size_t>(std::count_if(sources.begin(), sources.end(), IsDns));
   for (std::size_t i = 0; i < sources.size(); ++i) {
@@ -84,7 +84,7 @@
   }
 }
 
-void DnsSdDiscovery::Stop() {
+void ServiceDiscovery::Stop() {
   stopped_ = true;
   timer_.cancel();
   for (const auto& zone : zones_) {
@@ -92,18 +92,18 @@
   }
 }
 
-void DnsSdDiscovery::SeedRegistry(const EndpointList& known) {
+void ServiceDiscovery::RestoreRegistryListing(const EndpointList& known) {
   membership_.RestoreListing(clock_.Now(), config_.RegistryIndex().value(), known);
 }
 
-void DnsSdDiscovery::OnRegistryUpdate(const EndpointList& listing) {
+void ServiceDiscovery::OnRegistryUpdate(const EndpointList& listing) {
   const std::optional<std::size_t> registry = config_.RegistryIndex();
   if (!registry) return;
   membership_.ApplyListing(clock_.Now(), *registry, listing);
   Pump();
 }
 
-void DnsSdDiscovery::Pump() {
+void ServiceDiscovery::Pump() {
   if (stopped_) return;
   for (const auto& zone : zones_) {
     while (PumpZone(*zone)) {
@@ -114,7 +114,7 @@
   ArmTimer();
 }
 
-void DnsSdDiscovery::ArmTimer() {
+void ServiceDiscovery::ArmTimer() {
   std::optional<Micros> due = membership_.NextDue();
   for (const auto& zone : zones_) {
     const Micros next = zone->browser.NextDue();
@@ -127,7 +127,7 @@
   });
 }
 
-bool DnsSdDiscovery::PumpZone(Zone& zone) {
+bool ServiceDiscovery::PumpZone(Zone& zone) {
   const Micros now = clock_.Now();
   zone.browser.Tick(now);
   bool progressed = false;
@@ -153,7 +153,7 @@
   return progressed;
 }
 
-void DnsSdDiscovery::StartTransaction(Zone& zone, const dnssd::Transmission& transmission) {
+void ServiceDiscovery::StartTransaction(Zone& zone, const dnssd::Transmission& transmission) {
   const AttemptKey key{transmission.query, transmission.attempt};
   const auto transaction = std::make_shared<DnsTransaction>(
       io_, transaction_counters_, transmission,
@@ -169,7 +169,7 @@
   transaction->Start(zone.endpoints[transmission.resolver], clock_.ToSteady(transmission.deadline));
 }
 
-std::vector<DnsSdDiscovery::ZoneStatus> DnsSdDiscovery::Zones() const {
+std::vector<ServiceDiscovery::ZoneStatus> ServiceDiscovery::ZoneStatuses() const {
   std::vector<ZoneStatus> statuses;
   for (const auto& zone : zones_) {
     const dnssd::BrowserOptions& options = zone->browser.options();
--- a/src/discovery/dns_sd_discovery.hpp
+++ b/src/discovery/service_discovery.hpp
@@ -1,7 +1,7 @@
 // Service discovery from several sources: DNS-SD zones, which it browses with sockets and timers, static
 // lists, and the updates of the platform's registry, all merged by the membership.
-#ifndef TULIPYOKE_SRC_DISCOVERY_DNS_SD_DISCOVERY_HPP_
-#define TULIPYOKE_SRC_DISCOVERY_DNS_SD_DISCOVERY_HPP_
+#ifndef TULIPYOKE_SRC_DISCOVERY_SERVICE_DISCOVERY_HPP_
+#define TULIPYOKE_SRC_DISCOVERY_SERVICE_DISCOVERY_HPP_
 
 #include <asio.hpp>
 #include <cstdint>
@@ -21,20 +21,20 @@
 namespace tulipyoke::discovery {
 
 // Runs in the thread of `io`; `io` and `clock` must outlive it.
-class DnsSdDiscovery {
+class ServiceDiscovery {
  public:
   using OnUpdate = std::function<void(const EndpointList&)>;
 
   // `on_update` gets what has changed in the merged list. Throws std::runtime_error where the address of a
   // resolver is invalid.
-  DnsSdDiscovery(asio::io_context& io, net::LoopClock& clock, const MembershipConfig& config,
-                 OnUpdate on_update);
-  ~DnsSdDiscovery();
-  DnsSdDiscovery(const DnsSdDiscovery&) = delete;
-  DnsSdDiscovery& operator=(const DnsSdDiscovery&) = delete;
+  ServiceDiscovery(asio::io_context& io, net::LoopClock& clock, const MembershipConfig& config,
+                   OnUpdate on_update);
+  ~ServiceDiscovery();
+  ServiceDiscovery(const ServiceDiscovery&) = delete;
+  ServiceDiscovery& operator=(const ServiceDiscovery&) = delete;
 
   // Takes the registry's list as it was last known, before the registry itself has been heard.
-  void SeedRegistry(const EndpointList& known);
+  void RestoreRegistryListing(const EndpointList& known);
   // Takes an update of the registry; ignored where the registry is no source.
   void OnRegistryUpdate(const EndpointList& listing);
   // Ends all queries and timers for good.
@@ -49,7 +49,7 @@
     dnssd::StubResolverCounters resolver;
     std::vector<dnssd::InstanceView> instances;
   };
-  std::vector<ZoneStatus> Zones() const;
+  std::vector<ZoneStatus> ZoneStatuses() const;
   const membership::Membership& membership() const { return membership_; }
   const DnsTransactionCounters& transaction_counters() const { return transaction_counters_; }
 
@@ -76,8 +76,8 @@
 };
 
 // For operators: the zones and the merged servers, a line each.
-std::string ToText(const DnsSdDiscovery& discovery, Micros now);
+std::string ToText(const ServiceDiscovery& discovery, Micros now);
 
 }  // namespace tulipyoke::discovery
 
-#endif  // TULIPYOKE_SRC_DISCOVERY_DNS_SD_DISCOVERY_HPP_
+#endif  // TULIPYOKE_SRC_DISCOVERY_SERVICE_DISCOVERY_HPP_
--- a/src/discovery/dns_sd_status.cpp
+++ b/src/discovery/service_discovery_status.cpp
@@ -2,14 +2,14 @@
 #include <cstddef>
 #include <sstream>
 
-#include "src/discovery/dns_sd_discovery.hpp"
+#include "src/discovery/service_discovery.hpp"
 
 namespace tulipyoke::discovery {
 namespace {
 
 constexpr Micros kMicrosPerSecond = 1'000'000;
 
-void WriteZone(std::ostream& out, const DnsSdDiscovery::ZoneStatus& zone) {
+void WriteZone(std::ostream& out, const ServiceDiscovery::ZoneStatus& zone) {
   out << "zone " << zone.zone << " source=" << zone.source
       << " serial=" << (zone.serial ? std::to_string(*zone.serial) : "unknown")
       << " instances=" << zone.instances.size() << " looks=" << zone.browser.polls
@@ -43,9 +43,9 @@
 
 }  // namespace
 
-std::string ToText(const DnsSdDiscovery& discovery, Micros now) {
+std::string ToText(const ServiceDiscovery& discovery, Micros now) {
   std::ostringstream out;
-  for (const DnsSdDiscovery::ZoneStatus& zone : discovery.Zones()) WriteZone(out, zone);
+  for (const ServiceDiscovery::ZoneStatus& zone : discovery.ZoneStatuses()) WriteZone(out, zone);
   WriteMembership(out, discovery.membership());
   for (const membership::ServerView& server : discovery.membership().ServerViews())
     WriteServer(out, server, now);
--- a/src/server/admin_calls.cpp
+++ b/src/server/admin_calls.cpp
@@ -26,7 +26,7 @@
 };
 
 AdminCalls::AdminCalls(LoopClock& clock, Dispatcher& dispatcher, ServingState& serving_state,
-                       const discovery::DnsSdDiscovery* directory)
+                       const discovery::ServiceDiscovery* directory)
     : clock_(clock), dispatcher_(dispatcher), serving_state_(serving_state), directory_(directory) {}
 
 AdminResponse AdminCalls::Answer(const std::string& method, const std::string& path) {
--- a/src/server/admin_calls.hpp
+++ b/src/server/admin_calls.hpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "src/admin/admin_response.hpp"
-#include "src/discovery/dns_sd_discovery.hpp"
+#include "src/discovery/service_discovery.hpp"
 #include "src/dispatch/dispatcher.hpp"
 #include "src/event_loop/loop_clock.hpp"
 #include "src/serving_state/serving_state.hpp"
@@ -18,7 +18,7 @@
  public:
   // `directory` is null where the registry is the only source of servers: there is no view of them then.
   AdminCalls(LoopClock& clock, Dispatcher& dispatcher, ServingState& serving_state,
-             const discovery::DnsSdDiscovery* directory);
+             const discovery::ServiceDiscovery* directory);
 
   AdminResponse Answer(const std::string& method, const std::string& path);
 
@@ -36,7 +36,7 @@
   LoopClock& clock_;
   Dispatcher& dispatcher_;
   ServingState& serving_state_;
-  const discovery::DnsSdDiscovery* directory_;
+  const discovery::ServiceDiscovery* directory_;
 };
 
 }  // namespace tulipyoke::net
--- a/src/server/counters_log.cpp
+++ b/src/server/counters_log.cpp
@@ -77,7 +77,7 @@
   LogInfo("membership", line.text());
 }
 
-void LogZone(const discovery::DnsSdDiscovery::ZoneStatus& zone) {
+void LogZone(const discovery::ServiceDiscovery::ZoneStatus& zone) {
   CounterLine line("zone " + zone.source);
   line.Add("instances", zone.instances.size());
   line.Add("looks", zone.browser.polls);
@@ -95,9 +95,9 @@
   LogInfo("zone", line.text());
 }
 
-void LogDirectory(const discovery::DnsSdDiscovery& directory) {
+void LogDirectory(const discovery::ServiceDiscovery& directory) {
   LogMembership(directory.membership());
-  for (const discovery::DnsSdDiscovery::ZoneStatus& zone : directory.Zones()) LogZone(zone);
+  for (const discovery::ServiceDiscovery::ZoneStatus& zone : directory.ZoneStatuses()) LogZone(zone);
 }
 
 void LogRegistryWatch(const discovery::RegistryWatch& registry_watch) {
--- a/src/server/counters_log.hpp
+++ b/src/server/counters_log.hpp
@@ -3,8 +3,8 @@
 #define TULIPYOKE_SRC_SERVER_COUNTERS_LOG_HPP_
 
 #include "src/admin/admin_server.hpp"
-#include "src/discovery/dns_sd_discovery.hpp"
 #include "src/discovery/registry_watch.hpp"
+#include "src/discovery/service_discovery.hpp"
 #include "src/dispatch/dispatcher.hpp"
 #include "src/listener/client_listener.hpp"
 #include "src/upstream/upstream_pool.hpp"
@@ -18,8 +18,8 @@
   const ClientListener& listener;
   const UpstreamPool& pool;
   const discovery::RegistryWatch& registry_watch;
-  const AdminServer* admin_server = nullptr;             // null: there is none
-  const discovery::DnsSdDiscovery* directory = nullptr;  // null: the registry is the only source of servers
+  const AdminServer* admin_server = nullptr;               // null: there is none
+  const discovery::ServiceDiscovery* directory = nullptr;  // null: the registry is the only source of servers
 };
 
 // One line for each source, as of `now`.
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -61,7 +61,7 @@
       directory_(MakeDirectory()),
       registry_watch_(
           io_, [this](const EndpointList& listing) { OnRegistryListing(listing); }, RegistryAddress(config),
-          config.cached_listing.version, discovery::PollBackoff(config.settings, config.seed)),
+          config.cached_listing.version, discovery::ReconnectBackoff(config.settings, config.seed)),
       admin_calls_(clock_, dispatcher_, serving_state_, directory_.get()),
       hot_restart_(io_, clock_, config_, dispatcher_, serving_state_, pool_, listener_),
       command_executor_(dispatcher_, pool_, listener_, registry_watch_, hot_restart_),
@@ -69,7 +69,8 @@
       dispatcher_timer_(io_) {
   signals_.add(SIGUSR1);
   dispatcher_.Start(clock_.Now(), config.cached_listing);
-  if (directory_ && !config.cached_listing.servers.empty()) directory_->SeedRegistry(config.cached_listing);
+  if (directory_ && !config.cached_listing.servers.empty())
+    directory_->RestoreRegistryListing(config.cached_listing);
   StartAdminServer();
   AwaitSignal();
   hot_restart_.Start();
@@ -83,9 +84,9 @@
                         });
 }
 
-std::unique_ptr<discovery::DnsSdDiscovery> Server::MakeDirectory() {
+std::unique_ptr<discovery::ServiceDiscovery> Server::MakeDirectory() {
   if (!config_.membership.enabled()) return nullptr;
-  return std::make_unique<discovery::DnsSdDiscovery>(
+  return std::make_unique<discovery::ServiceDiscovery>(
       io_, clock_, config_.membership,
       [this](const EndpointList& listing) { dispatcher_.UpdateEndpoints(clock_.Now(), listing); });
 }
--- a/src/server/server.hpp
+++ b/src/server/server.hpp
@@ -10,8 +10,8 @@
 
 #include "src/admin/admin_server.hpp"
 #include "src/config/config.hpp"
-#include "src/discovery/dns_sd_discovery.hpp"
 #include "src/discovery/registry_watch.hpp"
+#include "src/discovery/service_discovery.hpp"
 #include "src/dispatch/dispatcher.hpp"
 #include "src/event_loop/loop_clock.hpp"
 #include "src/listener/client_listener.hpp"
@@ -42,7 +42,7 @@
 
  private:
   void StartAdminServer();
-  std::unique_ptr<discovery::DnsSdDiscovery> MakeDirectory();
+  std::unique_ptr<discovery::ServiceDiscovery> MakeDirectory();
   void OnRegistryListing(const EndpointList& listing);
   void AwaitSignal();
   void OnSignal(int signal);
@@ -60,7 +60,8 @@
   ServingState serving_state_;
   UpstreamPool pool_;
   ClientListener listener_;
-  std::unique_ptr<discovery::DnsSdDiscovery> directory_;  // null: the registry is the only source of servers
+  std::unique_ptr<discovery::ServiceDiscovery>
+      directory_;  // null: the registry is the only source of servers
   discovery::RegistryWatch registry_watch_;
   AdminCalls admin_calls_;
   std::optional<AdminServer> admin_server_;
--- a/tests/discovery/registry_watch_oracle_test.cpp
+++ b/tests/discovery/registry_watch_oracle_test.cpp
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <vector>
 
-#include "src/discovery/poll_backoff.hpp"
+#include "src/discovery/reconnect_backoff.hpp"
 #include "src/discovery/registry_watch.hpp"
 #include "src/discovery/watch_response_parser.hpp"
 #include "standins/pg_peer.hpp"
@@ -120,7 +120,7 @@
   std::uint64_t heard = 0;
   RegistryWatch watch(
       io, [&](const EndpointList& listing) { heard = listing.version; }, first.Address(), 5,
-      PollBackoff(settings, 1));
+      ReconnectBackoff(settings, 1));
   RunUntil(io, [&] { return heard == 12; });
   watch.Refresh();
   RunUntil(io, [&] { return first.requests.size() == 5; });
@@ -190,7 +190,7 @@
         settings.max_list_age = 10'000'000;
         settings.drain_timeout = grace;
         settings.router_count = gateways;
-        PollBackoff backoff(settings, 7);
+        ReconnectBackoff backoff(settings, 7);
         hash.Add(backoff.response_timeout());
         for (int i = 0; i < 8; ++i) hash.Add(backoff.NextDelay());
         hash.Add(backoff.failures());
@@ -200,7 +200,7 @@
       }
     }
   }
-  hash.Add(PollBackoff::kHeartbeatTimeout);
+  hash.Add(ReconnectBackoff::kHeartbeatTimeout);
   EXPECT_EQ(hash.value(), 12059979503474983070u);
 }
 
--- a/tests/discovery/registry_watch_test.cpp
+++ b/tests/discovery/registry_watch_test.cpp
@@ -36,7 +36,7 @@
     return "{\"revision\":" + std::to_string(revision) + ",\"complete\":true,\"members\":[{\"id\":\"" + id +
            "\",\"host_port\":\"127.0.0.1:1\"}]}";
   }
-  static PollBackoff Backoff(Micros drain_timeout = 100'000) {
+  static ReconnectBackoff Backoff(Micros drain_timeout = 100'000) {
     Settings settings;
     settings.drain_timeout = drain_timeout;
     return {settings, 1};
