--- a/src/discovery/json_stream_splitter.cpp
+++ b/src/discovery/json_stream_splitter.cpp
@@ -5,8 +5,8 @@
 namespace tulipyoke::discovery {
 namespace {
 
-bool IsOpening(char character) { return character == '{' || character == '['; }
-bool IsClosing(char character) { return character == '}' || character == ']'; }
+bool IsOpeningBracket(char character) { return character == '{' || character == '['; }
+bool IsClosingBracket(char character) { return character == '}' || character == ']'; }
 bool IsSpace(char character) {
   return character == ' ' || character == '\t' || character == '\r' || character == '\n';
 }
@@ -14,43 +14,43 @@
 }  // namespace
 
 void JsonStreamSplitter::Feed(char character, std::vector<std::string>& values) {
-  if (value_.empty()) return Begin(character, values);
-  // What is no object or array ends with its line. A string cannot hold a line end, so a value that was cut
-  // off within one ends there as well and does not swallow the next value.
-  if (character == '\n' && (depth_ == 0 || in_string_)) {
-    blank_line_ = true;
-    return Complete(values);
+  if (pending_value_.empty()) return BeginValue(character, values);
+  // Text that is not an object or array ends with its line. A JSON string cannot contain a line break, so a
+  // value truncated within a string also ends there and does not absorb the next value.
+  if (character == '\n' && (nesting_depth_ == 0 || in_string_)) {
+    line_is_blank_ = true;
+    return CompleteValue(values);
   }
-  value_ += character;
-  if (depth_ == 0) return;
+  pending_value_ += character;
+  if (nesting_depth_ == 0) return;
   TrackNesting(character);
-  if (depth_ == 0) Complete(values);
+  if (nesting_depth_ == 0) CompleteValue(values);
 }
 
-void JsonStreamSplitter::Begin(char character, std::vector<std::string>& values) {
-  if (character == '\n' && std::exchange(blank_line_, true)) values.emplace_back();
+void JsonStreamSplitter::BeginValue(char character, std::vector<std::string>& values) {
+  if (character == '\n' && std::exchange(line_is_blank_, true)) values.emplace_back();
   if (IsSpace(character)) return;
-  blank_line_ = false;
-  depth_ = IsOpening(character) ? 1 : 0;
-  value_ = character;
+  line_is_blank_ = false;
+  nesting_depth_ = IsOpeningBracket(character) ? 1 : 0;
+  pending_value_ = character;
 }
 
 void JsonStreamSplitter::TrackNesting(char character) {
   if (in_string_) {
-    if (character == '"' && !escaped_) in_string_ = false;
-    escaped_ = character == '\\' && !escaped_;
+    if (character == '"' && !escape_pending_) in_string_ = false;
+    escape_pending_ = character == '\\' && !escape_pending_;
     return;
   }
   in_string_ = character == '"';
-  if (IsOpening(character)) ++depth_;
-  if (IsClosing(character)) --depth_;
+  if (IsOpeningBracket(character)) ++nesting_depth_;
+  if (IsClosingBracket(character)) --nesting_depth_;
 }
 
-void JsonStreamSplitter::Complete(std::vector<std::string>& values) {
-  values.push_back(std::exchange(value_, {}));
-  depth_ = 0;
+void JsonStreamSplitter::CompleteValue(std::vector<std::string>& values) {
+  values.push_back(std::exchange(pending_value_, {}));
+  nesting_depth_ = 0;
   in_string_ = false;
-  escaped_ = false;
+  escape_pending_ = false;
 }
 
 }  // namespace tulipyoke::discovery
--- a/src/discovery/json_stream_splitter.hpp
+++ b/src/discovery/json_stream_splitter.hpp
@@ -1,4 +1,4 @@
-// Splits a stream of characters into JSON values, which may span lines. No I/O.
+// Splits a stream of characters into JSON values, which may span several lines. Does no I/O.
 #ifndef TULIPYOKE_SRC_DISCOVERY_JSON_STREAM_SPLITTER_HPP_
 #define TULIPYOKE_SRC_DISCOVERY_JSON_STREAM_SPLITTER_HPP_
 
@@ -8,26 +8,26 @@
 
 namespace tulipyoke::discovery {
 
-// The values are objects and arrays; they are not validated. Anything else that starts outside of one is
-// taken to the end of its line and passed on as a value, for the caller to reject. A blank line outside of a
-// value is passed on as an empty string.
+// Extracts objects and arrays without validating them. Other text outside a value is returned as a value up
+// to the end of its line, so that the caller can reject it. A blank line outside a value is returned as an
+// empty string.
 class JsonStreamSplitter {
  public:
-  // Appends the value that this character completes, if any.
+  // Processes one character and appends the value that it completes, if any, to `values`.
   void Feed(char character, std::vector<std::string>& values);
-  // Characters of the value under way.
-  std::size_t pending_size() const { return value_.size(); }
+  // Returns the number of characters in the incomplete value.
+  std::size_t pending_size() const { return pending_value_.size(); }
 
  private:
-  void Begin(char character, std::vector<std::string>& values);
+  void BeginValue(char character, std::vector<std::string>& values);
   void TrackNesting(char character);
-  void Complete(std::vector<std::string>& values);
+  void CompleteValue(std::vector<std::string>& values);
 
-  std::string value_;  // under way; empty outside of values
-  int depth_ = 0;      // of its brackets; 0: it is no object or array
+  std::string pending_value_;  // the incomplete value; empty outside values
+  int nesting_depth_ = 0;      // the number of open brackets; 0 if the value is not an object or array
   bool in_string_ = false;
-  bool escaped_ = false;  // the last character of the string was a backslash that escapes the next one
-  bool blank_line_ = true;
+  bool escape_pending_ = false;  // the last character was a backslash that escapes the next one
+  bool line_is_blank_ = true;
 };
 
 }  // namespace tulipyoke::discovery
--- a/src/discovery/registry_watch.cpp
+++ b/src/discovery/registry_watch.cpp
@@ -16,7 +16,7 @@
 
 using Kind = WatchFailure::Kind;
 
-constexpr std::size_t kReadBytes = 16384;
+constexpr std::size_t kReadBufferBytes = 16384;
 
 std::string RequestFor(const std::string& address, std::uint64_t version) {
   return "GET /registry/instances?follow=1&since=" + std::to_string(version) +
@@ -31,8 +31,8 @@
   asio::ip::tcp::socket socket;
   WatchResponseParser parser;
   std::string request;
-  bool update_missed = false;  // a value was invalid, and no complete list has come since
-  std::array<char, kReadBytes> buffer{};
+  bool update_missed = false;  // a value was invalid and no complete listing has arrived since
+  std::array<char, kReadBufferBytes> buffer{};
 };
 
 RegistryWatch::RegistryWatch(asio::io_context& io, OnUpdate on_update, const std::string& address,
@@ -42,7 +42,7 @@
       endpoint_(address.empty() ? asio::ip::tcp::endpoint() : net::ToEndpoint(address)),
       address_(address),
       version_(version),
-      silence_timer_(io),
+      liveness_timer_(io),
       retry_timer_(io),
       backoff_(backoff),
       stopped_(address.empty()) {
@@ -61,27 +61,27 @@
   version_ = 0;
   backoff_.Reset();
   retry_timer_.Cancel();
-  // After two redirections in a row, without an update between them, the oldest connection is the one kept.
-  if (former_)
+  // After two consecutive redirections without an update in between, the oldest connection is kept.
+  if (previous_)
     Close(current_);
   else
-    former_ = current_;
+    previous_ = current_;
   Connect();
 }
 
 void RegistryWatch::Stop() {
   stopped_ = true;
-  silence_timer_.Cancel();
+  liveness_timer_.Cancel();
   retry_timer_.Cancel();
   Close(current_);
-  Close(former_);
+  Close(previous_);
 }
 
 void RegistryWatch::Connect() {
   ++counters_.connects;
   const auto connection = std::make_shared<Connection>(io_);
   current_ = connection;
-  silence_timer_.ExpireAfter(std::chrono::microseconds(backoff_.response_timeout()), [this, connection] {
+  liveness_timer_.ExpireAfter(std::chrono::microseconds(backoff_.response_timeout()), [this, connection] {
     Disconnect(connection, {Kind::kResponseTimeout, {}});
   });
   connection->socket.async_connect(endpoint_, [this, connection](std::error_code error) {
@@ -106,23 +106,24 @@
                                      [this, connection](std::error_code error, std::size_t size) {
                                        if (!IsOpen(connection)) return;
                                        if (error) return Disconnect(connection, {Kind::kTransport, error});
-                                       OnBytes(connection, size);
+                                       OnBytesReceived(connection, size);
                                      });
 }
 
-void RegistryWatch::OnBytes(const ConnectionPtr& connection, std::size_t size) {
-  const bool had_begun = connection->parser.begun();
+void RegistryWatch::OnBytesReceived(const ConnectionPtr& connection, std::size_t size) {
+  const bool had_opened = connection->parser.watch_opened();
   std::vector<std::string> values;
-  const bool goes_on = connection->parser.Feed(std::string_view(connection->buffer.data(), size), values);
-  if (!had_begun && connection->parser.begun()) RestartHeartbeatTimer(connection);
+  const bool response_open =
+      connection->parser.Feed(std::string_view(connection->buffer.data(), size), values);
+  if (!had_opened && connection->parser.watch_opened()) RestartHeartbeatTimer(connection);
   for (const std::string& value : values) OnValue(connection, value);
-  // The update that the invalid value would have been, such as the drain of a server, is in the complete
-  // list.
+  // The complete listing includes the change that the invalid value should have announced, such as the drain
+  // of a server.
   if (connection->update_missed && connection == current_) {
     version_ = 0;
     return Disconnect(connection, {Kind::kInvalidValue, {}});
   }
-  if (!goes_on) return Disconnect(connection, {Kind::kResponseEnded, {}});
+  if (!response_open) return Disconnect(connection, {Kind::kResponseEndedOrInvalid, {}});
   Read(connection);
 }
 
@@ -146,44 +147,46 @@
   if (connection == current_) {
     backoff_.Reset();
     RestartHeartbeatTimer(connection);
-    // Versions of two addresses are not comparable: those of the former one must not be sent to this one.
+    // The versions of two addresses are not comparable, so a version from the previous address must not be
+    // sent to the current one.
     version_ = listing.version;
-    Close(former_);
+    Close(previous_);
   }
   connection->update_missed = connection->update_missed && !listing.complete;
   on_update_(listing);
 }
 
-// An invalid value does not count as a sign of life: a watch that brings nothing else times out.
+// An invalid value does not restart the heartbeat timer, so a watch that delivers nothing else times out.
 void RegistryWatch::OnInvalidValue(const ConnectionPtr& connection, const std::string& reason) {
   connection->update_missed = true;
   ++counters_.invalid_values;
   if (counters_.invalid_values > 1) return;
-  LogWarning("discovery_bad_line", "discovery sent a line that cannot be used: " + reason, {{"why", reason}});
+  LogWarning("discovery_bad_line", "the registry sent an invalid value: " + reason, {{"why", reason}});
 }
 
 void RegistryWatch::Disconnect(const ConnectionPtr& connection, const WatchFailure& failure) {
   if (stopped_) return;
-  if (connection == former_) return Close(former_);
+  if (connection == previous_) return Close(previous_);
   if (connection != current_) return;
   Close(current_);
-  silence_timer_.Cancel();
+  liveness_timer_.Cancel();
   ++counters_.disconnects;
-  // Logged once an outage: the attempts that follow are counted.
+  // Logged once for each outage. Further failed attempts are only counted.
   if (backoff_.failures() == 0) {
     const std::string reason = ToText(failure);
-    LogWarning("discovery_lost", "discovery watch lost: " + reason, {{"why", reason}});
+    LogWarning("discovery_lost", "registry watch lost: " + reason, {{"why", reason}});
   }
   retry_timer_.ExpireAfter(std::chrono::microseconds(backoff_.NextDelay()), [this] { Connect(); });
 }
 
 void RegistryWatch::RestartHeartbeatTimer(const ConnectionPtr& connection) {
-  // The former connection ends with the first update of the new one, or by itself.
+  // The previous connection has no timeout. It is closed on the first update of the new one or ends on its
+  // own.
   if (connection != current_) return;
-  silence_timer_.ExpireAfter(std::chrono::microseconds(ReconnectBackoff::kHeartbeatTimeout),
-                             [this, connection] {
-                               Disconnect(connection, {Kind::kHeartbeatTimeout, {}});
-                             });
+  liveness_timer_.ExpireAfter(std::chrono::microseconds(ReconnectBackoff::kHeartbeatTimeout),
+                              [this, connection] {
+                                Disconnect(connection, {Kind::kHeartbeatTimeout, {}});
+                              });
 }
 
 void RegistryWatch::Close(ConnectionPtr& connection) {
--- a/src/discovery/service_discovery.cpp
+++ b/src/discovery/service_discovery.cpp
@@ -13,8 +13,9 @@
 namespace tulipyoke::discovery {
 namespace {
 
-// Sockets for queries, over all zones: they come out of the descriptors reserved for the router itself.
-constexpr std::size_t kMaxSockets = 32;
+// The query sockets to divide among all zones, where each zone may use at least kMinQueriesPerZone. They use
+// file descriptors that are reserved for the router itself.
+constexpr std::size_t kMaxQuerySockets = 32;
 constexpr std::size_t kMinQueriesPerZone = 2;
 
 std::vector<std::string> SourceNames(const MembershipConfig& config) {
@@ -23,15 +24,15 @@
   return names;
 }
 
-bool IsDns(const SourceConfig& source) { return source.kind == SourceConfig::Kind::kDnsSd; }
+bool IsDnsSd(const SourceConfig& source) { return source.kind == SourceConfig::Kind::kDnsSd; }
 
-dnssd::BrowserOptions BrowserOptionsOf(const DnsSdSource& source, std::size_t max_queries) {
+dnssd::BrowserOptions LimitedBrowserOptions(const DnsSdSource& source, std::size_t max_queries) {
   dnssd::BrowserOptions options = source.browser_options;
   options.max_concurrent_queries = std::min(options.max_concurrent_queries, max_queries);
   return options;
 }
 
-// One attempt at one query.
+// Identifies one attempt of a query.
 struct AttemptKey {
   dnssd::QueryId query = 0;
   int attempt = 0;
@@ -44,16 +45,17 @@
   Zone(std::size_t index, const std::string& source_name, const DnsSdSource& source, std::size_t max_queries)
       : source_index(index),
         name(source_name),
-        browser(BrowserOptionsOf(source, max_queries)),
+        browser(LimitedBrowserOptions(source, max_queries)),
         resolver(source.resolver_options) {
-    for (const std::string& address : source.resolvers) endpoints.push_back(net::ToEndpoint(address));
+    for (const std::string& address : source.resolvers)
+      resolver_endpoints.push_back(net::ToEndpoint(address));
   }
 
   std::size_t source_index;
   std::string name;
   dnssd::ZoneBrowser browser;
   dnssd::StubResolver resolver;
-  std::vector<asio::ip::tcp::endpoint> endpoints;                      // by index of the resolver
+  std::vector<asio::ip::tcp::endpoint> resolver_endpoints;             // by resolver index
   std::map<AttemptKey, std::shared_ptr<DnsTransaction>> transactions;  // in flight
 };
 
@@ -66,20 +68,20 @@
       membership_(config.options, SourceNames(config)),
       timer_(io) {
   AddSources();
-  asio::post(io_, [this] { Pump(); });
+  asio::post(io_, [this] { ProcessPendingWork(); });
 }
 
 ServiceDiscovery::~ServiceDiscovery() { Stop(); }
 
 void ServiceDiscovery::AddSources() {
   const std::vector<SourceConfig>& sources = config_.sources;
-  const auto zones = static_cast<std::size_t>(std::count_if(sources.begin(), sources.end(), IsDns));
+  const auto zone_count = static_cast<std::size_t>(std::count_if(sources.begin(), sources.end(), IsDnsSd));
   for (std::size_t i = 0; i < sources.size(); ++i) {
     const SourceConfig& source = sources[i];
     if (source.kind == SourceConfig::Kind::kStatic)
       membership_.ApplyListing(clock_.Now(), i, source.static_listing);
-    if (!IsDns(source)) continue;
-    const std::size_t max_queries = std::max(kMinQueriesPerZone, kMaxSockets / zones);
+    if (!IsDnsSd(source)) continue;
+    const std::size_t max_queries = std::max(kMinQueriesPerZone, kMaxQuerySockets / zone_count);
     zones_.push_back(std::make_unique<Zone>(i, source.name, source.dns_sd, max_queries));
   }
 }
@@ -92,21 +94,21 @@
   }
 }
 
-void ServiceDiscovery::RestoreRegistryListing(const EndpointList& known) {
-  membership_.RestoreListing(clock_.Now(), config_.RegistryIndex().value(), known);
+void ServiceDiscovery::RestoreRegistryListing(const EndpointList& cached_listing) {
+  membership_.RestoreListing(clock_.Now(), config_.RegistryIndex().value(), cached_listing);
 }
 
 void ServiceDiscovery::OnRegistryUpdate(const EndpointList& listing) {
   const std::optional<std::size_t> registry = config_.RegistryIndex();
   if (!registry) return;
   membership_.ApplyListing(clock_.Now(), *registry, listing);
-  Pump();
+  ProcessPendingWork();
 }
 
-void ServiceDiscovery::Pump() {
+void ServiceDiscovery::ProcessPendingWork() {
   if (stopped_) return;
   for (const auto& zone : zones_) {
-    while (PumpZone(*zone)) {
+    while (ProcessZone(*zone)) {
     }
   }
   membership_.Tick(clock_.Now());
@@ -117,17 +119,17 @@
 void ServiceDiscovery::ArmTimer() {
   std::optional<Micros> due = membership_.NextDue();
   for (const auto& zone : zones_) {
-    const Micros next = zone->browser.NextDue();
-    due = std::min(due.value_or(next), next);
+    const Micros zone_due = zone->browser.NextDue();
+    due = std::min(due.value_or(zone_due), zone_due);
   }
   if (!due || *due == std::numeric_limits<Micros>::max()) return;
   timer_.expires_at(clock_.ToSteady(std::max(*due, clock_.Now() + 1)));
   timer_.async_wait([this](std::error_code error) {
-    if (!error) Pump();
+    if (!error) ProcessPendingWork();
   });
 }
 
-bool ServiceDiscovery::PumpZone(Zone& zone) {
+bool ServiceDiscovery::ProcessZone(Zone& zone) {
   const Micros now = clock_.Now();
   zone.browser.Tick(now);
   bool progressed = false;
@@ -163,10 +165,10 @@
           zone.resolver.OnFailure(clock_.Now(), key.query, key.attempt, *error);
         else
           zone.resolver.OnResponse(clock_.Now(), key.query, key.attempt, std::move(messages));
-        Pump();
+        ProcessPendingWork();
       });
   zone.transactions[key] = transaction;
-  transaction->Start(zone.endpoints[transmission.resolver], clock_.ToSteady(transmission.deadline));
+  transaction->Start(zone.resolver_endpoints[transmission.resolver], clock_.ToSteady(transmission.deadline));
 }
 
 std::vector<ServiceDiscovery::ZoneStatus> ServiceDiscovery::ZoneStatuses() const {
--- a/src/discovery/service_discovery.hpp
+++ b/src/discovery/service_discovery.hpp
@@ -1,5 +1,5 @@
-// Service discovery from several sources: DNS-SD zones, which it browses with sockets and timers, static
-// lists, and the updates of the platform's registry, all merged by the membership.
+// Merges the servers announced by DNS-SD zones, static lists and the platform's registry. Browses the DNS-SD
+// zones with its own sockets and timers.
 #ifndef TULIPYOKE_SRC_DISCOVERY_SERVICE_DISCOVERY_HPP_
 #define TULIPYOKE_SRC_DISCOVERY_SERVICE_DISCOVERY_HPP_
 
@@ -20,12 +20,12 @@
 
 namespace tulipyoke::discovery {
 
-// Runs in the thread of `io`; `io` and `clock` must outlive it.
+// Must be used on the thread that runs `io`. `io` and `clock` must outlive it.
 class ServiceDiscovery {
  public:
   using OnUpdate = std::function<void(const EndpointList&)>;
 
-  // `on_update` gets what has changed in the merged list. Throws std::runtime_error where the address of a
+  // Calls `on_update` with each change of the merged list. Throws std::runtime_error if the address of a
   // resolver is invalid.
   ServiceDiscovery(asio::io_context& io, net::LoopClock& clock, const MembershipConfig& config,
                    OnUpdate on_update);
@@ -33,17 +33,18 @@
   ServiceDiscovery(const ServiceDiscovery&) = delete;
   ServiceDiscovery& operator=(const ServiceDiscovery&) = delete;
 
-  // Takes the registry's list as it was last known, before the registry itself has been heard.
-  void RestoreRegistryListing(const EndpointList& known);
-  // Takes an update of the registry; ignored where the registry is no source.
+  // Restores the last known listing of the registry. Call it before the first update from the registry, and
+  // only if the registry is a configured source.
+  void RestoreRegistryListing(const EndpointList& cached_listing);
+  // Applies an update from the registry. Does nothing if the registry is not a configured source.
   void OnRegistryUpdate(const EndpointList& listing);
-  // Ends all queries and timers for good.
+  // Cancels all queries and timers permanently.
   void Stop();
 
-  // One browsed zone, for operators.
+  // The status of one browsed zone, for operators.
   struct ZoneStatus {
-    std::string source;  // its name in the configuration
-    std::string zone;    // with the service
+    std::string source;  // the name of the source in the configuration
+    std::string zone;    // the service and the zone, as one domain name
     std::optional<std::uint32_t> serial;
     dnssd::BrowserCounters browser;
     dnssd::StubResolverCounters resolver;
@@ -57,10 +58,11 @@
   struct Zone;
 
   void AddSources();
-  // Moves all pending work between browsers, resolvers, transactions and the membership, and sets the timer.
-  void Pump();
-  // Returns whether there may be more to do.
-  bool PumpZone(Zone& zone);
+  // Passes pending work between the browsers, resolvers, transactions and the membership, then sets the
+  // timer.
+  void ProcessPendingWork();
+  // Returns true if the zone may have more work.
+  bool ProcessZone(Zone& zone);
   void StartTransaction(Zone& zone, const dnssd::Transmission& transmission);
   void ArmTimer();
 
@@ -75,7 +77,7 @@
   bool stopped_ = false;
 };
 
-// For operators: the zones and the merged servers, a line each.
+// Returns the status for operators, with one line for each zone and each merged server.
 std::string ToText(const ServiceDiscovery& discovery, Micros now);
 
 }  // namespace tulipyoke::discovery
--- a/src/discovery/service_discovery_status.cpp
+++ b/src/discovery/service_discovery_status.cpp
@@ -1,4 +1,4 @@
-// The text in which operators see the zones and the merged servers.
+// Formats the status of the zones and the merged servers for operators.
 #include <cstddef>
 #include <sstream>
 
@@ -26,11 +26,11 @@
 }
 
 void WriteMembership(std::ostream& out, const membership::Membership& membership) {
-  const membership::Counters& c = membership.counters();
-  out << "membership servers=" << membership.size() << " vanished=" << c.vanished
-      << " returned=" << c.returned << " restarts=" << c.restarts << " moved=" << c.moved
-      << " disagreed=" << c.conflicts << " held_down=" << c.suppressed << " admitted=" << c.admitted
-      << " over=" << c.over_limit << "\n";
+  const membership::Counters& counts = membership.counters();
+  out << "membership servers=" << membership.size() << " vanished=" << counts.vanished
+      << " returned=" << counts.returned << " restarts=" << counts.restarts << " moved=" << counts.moved
+      << " disagreed=" << counts.conflicts << " held_down=" << counts.suppressed
+      << " admitted=" << counts.admitted << " over=" << counts.over_limit << "\n";
 }
 
 void WriteServer(std::ostream& out, const membership::ServerView& server, Micros now) {
--- a/src/discovery/watch_failure.cpp
+++ b/src/discovery/watch_failure.cpp
@@ -7,15 +7,15 @@
     case WatchFailure::Kind::kTransport:
       return failure.error.message();
     case WatchFailure::Kind::kResponseTimeout:
-      return "no answer in time";
+      return "no response in time";
     case WatchFailure::Kind::kHeartbeatTimeout:
-      return "no word in time";
+      return "no update or heartbeat in time";
     case WatchFailure::Kind::kInvalidValue:
-      return "a word that cannot be used";
-    case WatchFailure::Kind::kResponseEnded:
-      return "the answer ended or was no watch";
+      return "an update was invalid";
+    case WatchFailure::Kind::kResponseEndedOrInvalid:
+      return "the response ended or was not a valid watch response";
     case WatchFailure::Kind::kRefreshRequested:
-      return "the whole list is wanted";
+      return "a complete listing was requested";
   }
   return "";
 }
--- a/src/discovery/watch_failure.hpp
+++ b/src/discovery/watch_failure.hpp
@@ -1,4 +1,4 @@
-// Why a connection of the registry watch was given up.
+// Reasons for closing a connection of the registry watch.
 #ifndef TULIPYOKE_SRC_DISCOVERY_WATCH_FAILURE_HPP_
 #define TULIPYOKE_SRC_DISCOVERY_WATCH_FAILURE_HPP_
 
@@ -9,17 +9,17 @@
 
 struct WatchFailure {
   enum class Kind {
-    kTransport,         // see `error`
-    kResponseTimeout,   // no head of a response
-    kHeartbeatTimeout,  // no update and no heartbeat
-    kInvalidValue,      // and no complete list after it
-    kResponseEnded,     // or it is no watch
-    kRefreshRequested,  // see RegistryWatch::Refresh()
+    kTransport,               // `error` holds the cause
+    kResponseTimeout,         // the response headers did not arrive in time
+    kHeartbeatTimeout,        // neither an update nor a heartbeat arrived in time
+    kInvalidValue,            // and no complete listing followed it
+    kResponseEndedOrInvalid,  // or it is not a valid watch response
+    kRefreshRequested,        // RegistryWatch::Refresh() was called
   };
   Kind kind = Kind::kTransport;
-  std::error_code error;  // of kTransport
+  std::error_code error;  // set for kTransport only
 };
-// For log messages.
+// Returns the reason for use in log messages.
 std::string ToText(const WatchFailure& failure);
 
 }  // namespace tulipyoke::discovery
--- a/src/discovery/watch_response_parser.cpp
+++ b/src/discovery/watch_response_parser.cpp
@@ -5,7 +5,7 @@
 
 constexpr std::size_t kMaxValueBytes = std::size_t{4} << 20;
 constexpr unsigned kHttpOk = 200;
-// What callbacks of http_parser return.
+// Return values of the http_parser callbacks.
 constexpr int kContinue = 0;
 constexpr int kAbort = -1;
 
@@ -24,13 +24,13 @@
   values_ = &values;
   const std::size_t parsed = http_parser_execute(&parser_, &callbacks_, bytes.data(), bytes.size());
   values_ = nullptr;
-  return parsed == bytes.size() && HTTP_PARSER_ERRNO(&parser_) == HPE_OK && !ended_;
+  return parsed == bytes.size() && HTTP_PARSER_ERRNO(&parser_) == HPE_OK && !response_ended_;
 }
 
 int WatchResponseParser::OnHeadersComplete(http_parser* parser) {
   auto& self = *static_cast<WatchResponseParser*>(parser->data);
-  self.begun_ = parser->status_code == kHttpOk;
-  return self.begun_ ? kContinue : kAbort;
+  self.watch_opened_ = parser->status_code == kHttpOk;
+  return self.watch_opened_ ? kContinue : kAbort;
 }
 
 int WatchResponseParser::OnBody(http_parser* parser, const char* data, std::size_t size) {
@@ -40,7 +40,7 @@
 }
 
 int WatchResponseParser::OnMessageComplete(http_parser* parser) {
-  static_cast<WatchResponseParser*>(parser->data)->ended_ = true;
+  static_cast<WatchResponseParser*>(parser->data)->response_ended_ = true;
   return kContinue;
 }
 
--- a/src/discovery/watch_response_parser.hpp
+++ b/src/discovery/watch_response_parser.hpp
@@ -1,4 +1,4 @@
-// Parses the HTTP response of a registry watch as its bytes arrive. No I/O.
+// Parses the HTTP response of a registry watch incrementally. Does no I/O.
 #ifndef TULIPYOKE_SRC_DISCOVERY_WATCH_RESPONSE_PARSER_HPP_
 #define TULIPYOKE_SRC_DISCOVERY_WATCH_RESPONSE_PARSER_HPP_
 
@@ -13,7 +13,7 @@
 
 namespace tulipyoke::discovery {
 
-// The body holds JSON values and, as heartbeats, blank lines; see JsonStreamSplitter.
+// The body contains JSON values, and blank lines as heartbeats. See JsonStreamSplitter.
 class WatchResponseParser {
  public:
   WatchResponseParser();
@@ -21,11 +21,11 @@
   WatchResponseParser(const WatchResponseParser&) = delete;
   WatchResponseParser& operator=(const WatchResponseParser&) = delete;
 
-  // Appends the values that these bytes complete; an empty one is a heartbeat. False: the response is no
-  // watch, or has ended.
+  // Appends the values that these bytes complete. An empty value is a heartbeat. Returns false if the
+  // response has ended, is not valid HTTP with status 200, or contains a value that is too large.
   bool Feed(std::string_view bytes, std::vector<std::string>& values);
-  // Whether the head has come and opens a watch.
-  bool begun() const { return begun_; }
+  // Returns true once the response headers have arrived with status 200.
+  bool watch_opened() const { return watch_opened_; }
 
  private:
   static int OnHeadersComplete(http_parser* parser);
@@ -35,9 +35,9 @@
   http_parser parser_;
   http_parser_settings callbacks_;
   JsonStreamSplitter splitter_;
-  std::vector<std::string>* values_ = nullptr;  // during Feed()
-  bool begun_ = false;
-  bool ended_ = false;
+  std::vector<std::string>* values_ = nullptr;  // set only during Feed()
+  bool watch_opened_ = false;
+  bool response_ended_ = false;
 };
 
 }  // namespace tulipyoke::discovery
--- a/tests/discovery/json_stream_splitter_test.cpp
+++ b/tests/discovery/json_stream_splitter_test.cpp
@@ -1,4 +1,4 @@
-// Splitting of a stream into JSON values.
+// Tests the splitting of a character stream into JSON values.
 #include "src/discovery/json_stream_splitter.hpp"
 
 #include <gtest/gtest.h>
@@ -19,17 +19,17 @@
 
 using Values = std::vector<std::string>;
 
-TEST(JsonStreamSplitter, ValuesMaySpanLinesAndHoldBracketsInStrings) {
+TEST(JsonStreamSplitter, AcceptsMultilineValuesAndBracketsInStrings) {
   EXPECT_EQ(Split("{\"a\":\n[1]}[2]"), (Values{"{\"a\":\n[1]}", "[2]"}));
   EXPECT_EQ(Split("{\"a\":\"}\\\"]\"}\n"), (Values{"{\"a\":\"}\\\"]\"}"}));
 }
 
-TEST(JsonStreamSplitter, BlankLinesOutsideOfValuesAreEmptyValues) {
+TEST(JsonStreamSplitter, ReportsBlankLinesOutsideValuesAsEmptyValues) {
   EXPECT_EQ(Split("\n{}\n \n"), (Values{"", "{}", ""}));
   EXPECT_EQ(Split("{\n\n}\n"), (Values{"{\n\n}"}));
 }
 
-TEST(JsonStreamSplitter, WhatIsNoValueOrIsCutOffInAStringEndsWithItsLine) {
+TEST(JsonStreamSplitter, EndsNonJsonTextAndTruncatedStringsAtTheEndOfTheLine) {
   EXPECT_EQ(Split("oops {\n{\"cut\n{}"), (Values{"oops {", "{\"cut", "{}"}));
 }
 
--- a/tests/discovery/registry_watch_oracle_test.cpp
+++ b/tests/discovery/registry_watch_oracle_test.cpp
@@ -1,6 +1,6 @@
 // Characterization tests of the registry watch: the exact bytes of its HTTP requests, the values that its
-// parser finds in seeded random streams, and the pauses of its poll backoff. Constants were recorded once; a
-// change of one means that the observable behaviour has changed.
+// parser finds in seeded random streams, and the delays of its reconnect backoff. The expected constants were
+// recorded once. If one no longer matches, the observable behaviour has changed.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <vector>
 
-#include "src/discovery/reconnect_backoff.hpp"
+#include "src/discovery/poll_backoff.hpp"
 #include "src/discovery/registry_watch.hpp"
 #include "src/discovery/watch_response_parser.hpp"
 #include "standins/pg_peer.hpp"
@@ -25,7 +25,7 @@
 using standins::Loopback;
 using standins::tcp;
 
-constexpr const char* kHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+constexpr const char* kResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 std::string Chunk(const std::string& body) {
   char size[20];
@@ -33,7 +33,7 @@
   return size + body + "\r\n";
 }
 
-std::string ListOf(int revision) {
+std::string ListingJson(int revision) {
   return "{\"revision\":" + std::to_string(revision) +
          ",\"complete\":true,\"members\":[{\"id\":\"a\",\"host_port\":\"127.0.0.1:1\"}]}\n";
 }
@@ -53,11 +53,11 @@
   std::uint64_t hash_ = 0xcbf29ce484222325u;
 };
 
-// A registry that records the bytes of each request whole and answers the n-th with the n-th reply; a reply
-// that ends with kHangUp closes the connection behind it.
+// A registry that records the complete bytes of each request and answers the n-th request with the n-th
+// reply. If a reply ends with kCloseConnection, it closes the connection after sending the rest.
 class RecordingRegistry {
  public:
-  static constexpr char kHangUp = '\x04';
+  static constexpr char kCloseConnection = '\x04';
 
   explicit RecordingRegistry(asio::io_context& io) : acceptor_(io, Loopback(0)) { Accept(); }
 
@@ -86,11 +86,11 @@
                            });
   }
   static void Reply(tcp::socket& socket, std::string reply) {
-    const bool hangs_up = !reply.empty() && reply.back() == kHangUp;
-    if (hangs_up) reply.pop_back();
+    const bool closes_connection = !reply.empty() && reply.back() == kCloseConnection;
+    if (closes_connection) reply.pop_back();
     std::error_code ignored;
     asio::write(socket, asio::buffer(reply), ignored);
-    if (hangs_up) socket.close(ignored);
+    if (closes_connection) socket.close(ignored);
   }
 
   tcp::acceptor acceptor_;
@@ -98,34 +98,36 @@
 };
 
 void RunUntil(asio::io_context& io, const std::function<bool()>& done) {
-  const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(12);
-  while (!done() && std::chrono::steady_clock::now() < end) io.run_one_for(std::chrono::milliseconds(20));
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(12);
+  while (!done() && std::chrono::steady_clock::now() < deadline)
+    io.run_one_for(std::chrono::milliseconds(20));
   ASSERT_TRUE(done());
 }
 
-std::string RequestFor(const std::string& address, int since) {
-  return "GET /registry/instances?follow=1&since=" + std::to_string(since) + " HTTP/1.1\r\nHost: " + address +
-         "\r\nAccept: application/json\r\n\r\n";
+std::string RequestFor(const std::string& address, int since_version) {
+  return "GET /registry/instances?follow=1&since=" + std::to_string(since_version) +
+         " HTTP/1.1\r\nHost: " + address + "\r\nAccept: application/json\r\n\r\n";
 }
 
-TEST(RegistryWatchOracle, RequestsHaveTheseBytes) {
+TEST(RegistryWatchOracle, RequestBytesAreUnchanged) {
   asio::io_context io;
   RecordingRegistry first(io), second(io);
-  const std::string hang_up(1, RecordingRegistry::kHangUp);
-  first.replies = {kHead + Chunk(ListOf(7)) + hang_up, kHead + Chunk("{\"revision\":8,\"complete\":fal}\n"),
-                   "HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n", kHead + Chunk(ListOf(12))};
-  second.replies = {kHead + Chunk(ListOf(3))};
+  const std::string close_marker(1, RecordingRegistry::kCloseConnection);
+  first.replies = {kResponseHead + Chunk(ListingJson(7)) + close_marker,
+                   kResponseHead + Chunk("{\"revision\":8,\"complete\":fal}\n"),
+                   "HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n", kResponseHead + Chunk(ListingJson(12))};
+  second.replies = {kResponseHead + Chunk(ListingJson(3))};
   Settings settings;
   settings.drain_timeout = 100'000;
-  std::uint64_t heard = 0;
+  std::uint64_t last_version = 0;
   RegistryWatch watch(
-      io, [&](const EndpointList& listing) { heard = listing.version; }, first.Address(), 5,
+      io, [&](const EndpointList& listing) { last_version = listing.version; }, first.Address(), 5,
       ReconnectBackoff(settings, 1));
-  RunUntil(io, [&] { return heard == 12; });
+  RunUntil(io, [&] { return last_version == 12; });
   watch.Refresh();
   RunUntil(io, [&] { return first.requests.size() == 5; });
   watch.Redirect(second.Address());
-  RunUntil(io, [&] { return heard == 3; });
+  RunUntil(io, [&] { return last_version == 3; });
   watch.Stop();
   const std::string address = first.Address();
   EXPECT_EQ(first.requests,
@@ -137,7 +139,7 @@
   EXPECT_EQ(watch.counters().invalid_values, 1u);
 }
 
-// A linear congruential generator: the same numbers on every platform.
+// A linear congruential generator, which produces the same numbers on every platform.
 class RandomNumbers {
  public:
   explicit RandomNumbers(std::uint64_t seed) : state_(seed) {}
@@ -150,46 +152,46 @@
   std::uint64_t state_;
 };
 
-TEST(RegistryWatchOracle, TheParserFindsTheseValues) {
-  const std::vector<std::string> pieces = {
+TEST(RegistryWatchOracle, ParsedValuesAreUnchanged) {
+  const std::vector<std::string> fragments = {
       "{",    "}",   "[",  "]", "\"",   "\\",          "\n",        "\r\n", " ",
       "\t",   ":",   "12", "a", "\n\n", "{\"a\":1}\n", "no json\n", "[]",   "{\"s\":\"}\\\"\"}",
       "\"\n", "\\\\"};
   Fnv1a hash;
   for (std::uint64_t seed = 1; seed <= 400; ++seed) {
     RandomNumbers random(seed);
-    std::string stream = kHead;
+    std::string stream = kResponseHead;
     for (int chunk = 0; chunk < 12; ++chunk) {
       std::string body;
-      for (int i = 0; i < 9; ++i) body += pieces[random.Below(pieces.size())];
+      for (int i = 0; i < 9; ++i) body += fragments[random.Below(fragments.size())];
       stream += Chunk(body);
     }
     if (random.Below(2) == 0) stream += "0\r\n\r\n";
     if (random.Below(8) == 0) stream[random.Below(stream.size())] = '?';
     WatchResponseParser parser;
     std::vector<std::string> values;
-    for (std::size_t at = 0; at < stream.size();) {
-      const std::size_t size = std::min(stream.size() - at, 1 + random.Below(40));
-      const bool goes_on = parser.Feed(std::string_view(stream).substr(at, size), values);
-      hash.Add((goes_on ? 1 : 0) + (parser.begun() ? 2 : 0));
-      if (!goes_on) break;
-      at += size;
+    for (std::size_t offset = 0; offset < stream.size();) {
+      const std::size_t size = std::min(stream.size() - offset, 1 + random.Below(40));
+      const bool response_open = parser.Feed(std::string_view(stream).substr(offset, size), values);
+      hash.Add((response_open ? 1 : 0) + (parser.watch_opened() ? 2 : 0));
+      if (!response_open) break;
+      offset += size;
     }
     for (const std::string& value : values) hash.Add(value);
   }
   EXPECT_EQ(hash.value(), 13955958368259256259u);
 }
 
-TEST(RegistryWatchOracle, TheBackoffPausesForTheseTimes) {
+TEST(RegistryWatchOracle, BackoffDelaysAreUnchanged) {
   Fnv1a hash;
-  for (const bool ask_for_list : {false, true}) {
-    for (const Micros grace : {0, 50'000, 2'000'000}) {
-      for (const int gateways : {0, 3, 300}) {
+  for (const bool polls_listing : {false, true}) {
+    for (const Micros drain_duration : {0, 50'000, 2'000'000}) {
+      for (const int num_routers : {0, 3, 300}) {
         Settings settings;
-        settings.poll_endpoint_list = ask_for_list;
+        settings.poll_endpoint_list = polls_listing;
         settings.max_list_age = 10'000'000;
-        settings.drain_timeout = grace;
-        settings.router_count = gateways;
+        settings.drain_timeout = drain_duration;
+        settings.router_count = num_routers;
         ReconnectBackoff backoff(settings, 7);
         hash.Add(backoff.response_timeout());
         for (int i = 0; i < 8; ++i) hash.Add(backoff.NextDelay());
