--- a/src/discovery/poll_backoff.cpp
+++ b/src/discovery/poll_backoff.cpp
@@ -7,42 +7,46 @@
 
 constexpr Micros kInitialDelay = 100'000;
 constexpr int kMaxDoublings = 4;
-// All routers together make one attempt in this time at first, and half as many after each failure.
-constexpr Micros kSpreadPerRouter = 50'000;
-// The widest spread, as a multiple of the time within which each router has to poll.
-constexpr Micros kMaxSpreadFactor = 2;
-
-// An agent is retried after this part of the drain timeout, at least after kMinAgentDelay.
-constexpr Micros kAgentDelayDivisor = 8;
-constexpr Micros kMinAgentDelay = 10'000;
-// An agent has this part of the drain timeout to respond, within these limits.
-constexpr Micros kAgentResponseDivisor = 2;
-constexpr Micros kMinAgentResponse = 100'000;
-constexpr Micros kMaxAgentResponse = 1'000'000;
+// Initially, all routers together make one attempt in this time on average. Each failure halves that rate
+// until the limits of the delay are reached.
+constexpr Micros kJitterRangePerRouter = 50'000;
+// The limit of the jitter, as a multiple of the time within which each router must poll.
+constexpr Micros kMaxJitterRangeFactor = 2;
+
+// The delay before an agent is retried is this fraction of the drain timeout, but at least
+// kMinAgentRetryDelay.
+constexpr Micros kAgentRetryDelayDivisor = 8;
+constexpr Micros kMinAgentRetryDelay = 10'000;
+// An agent must respond within this fraction of the drain timeout, subject to the following limits.
+constexpr Micros kAgentResponseTimeoutDivisor = 2;
+constexpr Micros kMinAgentResponseTimeout = 100'000;
+constexpr Micros kMaxAgentResponseTimeout = 1'000'000;
 
 }  // namespace
 
-PollBackoff::PollBackoff(const Settings& settings, std::uint64_t seed)
-    : initial_delay_(kInitialDelay), random_(seed) {
+ReconnectBackoff::ReconnectBackoff(const Settings& settings, std::uint64_t seed)
+    : initial_delay_(kInitialDelay), random_engine_(seed) {
   if (settings.poll_endpoint_list) {
     max_doublings_ = kMaxDoublings;
-    max_spread_ = kMaxSpreadFactor * std::max<Micros>(settings.max_list_age, 0);
-    initial_spread_ = std::min(kSpreadPerRouter * std::max(settings.router_count, 1), max_spread_);
+    max_jitter_range_ = kMaxJitterRangeFactor * std::max<Micros>(settings.max_list_age, 0);
+    initial_jitter_range_ =
+        std::min(kJitterRangePerRouter * std::max(settings.router_count, 1), max_jitter_range_);
     return;
   }
-  response_timeout_ = kMaxAgentResponse;
+  response_timeout_ = kMaxAgentResponseTimeout;
   if (settings.drain_timeout <= 0) return;
-  initial_delay_ = std::clamp(settings.drain_timeout / kAgentDelayDivisor, kMinAgentDelay, kInitialDelay);
-  response_timeout_ =
-      std::clamp(settings.drain_timeout / kAgentResponseDivisor, kMinAgentResponse, kMaxAgentResponse);
+  initial_delay_ =
+      std::clamp(settings.drain_timeout / kAgentRetryDelayDivisor, kMinAgentRetryDelay, kInitialDelay);
+  response_timeout_ = std::clamp(settings.drain_timeout / kAgentResponseTimeoutDivisor,
+                                 kMinAgentResponseTimeout, kMaxAgentResponseTimeout);
 }
 
-Micros PollBackoff::NextDelay() {
+Micros ReconnectBackoff::NextDelay() {
   const int doublings = std::min(failures_, max_doublings_);
   ++failures_;
-  const Micros spread = std::min(initial_spread_ << doublings, max_spread_);
-  const Micros random_part = std::uniform_int_distribution<Micros>(0, spread)(random_);
-  return (initial_delay_ << doublings) + random_part;
+  const Micros jitter_range = std::min(initial_jitter_range_ << doublings, max_jitter_range_);
+  const Micros jitter = std::uniform_int_distribution<Micros>(0, jitter_range)(random_engine_);
+  return (initial_delay_ << doublings) + jitter;
 }
 
 }  // namespace tulipyoke::discovery
--- a/src/discovery/dns_sd_status.cpp
+++ b/src/discovery/service_discovery_status.cpp
@@ -1,15 +1,15 @@
-// The text in which operators see the zones and the merged servers.
+// Formats the status of the zones and the merged servers for operators.
 #include <cstddef>
 #include <sstream>
 
-#include "src/discovery/dns_sd_discovery.hpp"
+#include "src/discovery/service_discovery.hpp"
 
 namespace tulipyoke::discovery {
 namespace {
 
 constexpr Micros kMicrosPerSecond = 1'000'000;
 
-void WriteZone(std::ostream& out, const DnsSdDiscovery::ZoneStatus& zone) {
+void WriteZone(std::ostream& out, const ServiceDiscovery::ZoneStatus& zone) {
   out << "zone " << zone.zone << " source=" << zone.source
       << " serial=" << (zone.serial ? std::to_string(*zone.serial) : "unknown")
       << " instances=" << zone.instances.size() << " looks=" << zone.browser.polls
@@ -26,11 +26,11 @@
 }
 
 void WriteMembership(std::ostream& out, const membership::Membership& membership) {
-  const membership::Counters& c = membership.counters();
-  out << "membership servers=" << membership.size() << " vanished=" << c.vanished
-      << " returned=" << c.returned << " restarts=" << c.restarts << " moved=" << c.moved
-      << " disagreed=" << c.conflicts << " held_down=" << c.suppressed << " admitted=" << c.admitted
-      << " over=" << c.over_limit << "\n";
+  const membership::Counters& counts = membership.counters();
+  out << "membership servers=" << membership.size() << " vanished=" << counts.vanished
+      << " returned=" << counts.returned << " restarts=" << counts.restarts << " moved=" << counts.moved
+      << " disagreed=" << counts.conflicts << " held_down=" << counts.suppressed
+      << " admitted=" << counts.admitted << " over=" << counts.over_limit << "\n";
 }
 
 void WriteServer(std::ostream& out, const membership::ServerView& server, Micros now) {
@@ -43,9 +43,9 @@
 
 }  // namespace
 
-std::string ToText(const DnsSdDiscovery& discovery, Micros now) {
+std::string ToText(const ServiceDiscovery& discovery, Micros now) {
   std::ostringstream out;
-  for (const DnsSdDiscovery::ZoneStatus& zone : discovery.Zones()) WriteZone(out, zone);
+  for (const ServiceDiscovery::ZoneStatus& zone : discovery.ZoneStatuses()) WriteZone(out, zone);
   WriteMembership(out, discovery.membership());
   for (const membership::ServerView& server : discovery.membership().ServerViews())
     WriteServer(out, server, now);
--- a/tests/discovery/poll_backoff_test.cpp
+++ b/tests/discovery/poll_backoff_test.cpp
@@ -1,4 +1,4 @@
-// When routers ask for the endpoint list again: many of them together, and each by itself.
+// Tests the reconnect delays of single routers and of many routers that reconnect together.
 #include "src/discovery/poll_backoff.hpp"
 
 #include <gtest/gtest.h>
@@ -12,89 +12,92 @@
 namespace tulipyoke::limits {
 namespace {
 
-Settings AskSettings(int gateways) {
-  Settings s = TestSettings();
-  s.poll_endpoint_list = true;
-  s.max_list_age = 10 * kSecond;
-  s.router_count = gateways;
-  return s;
+Settings PollingSettings(int num_routers) {
+  Settings settings = TestSettings();
+  settings.poll_endpoint_list = true;
+  settings.max_list_age = 10 * kSecond;
+  settings.router_count = num_routers;
+  return settings;
 }
 
-// Routers whose watches broke together ask one service, which answers 20 calls a second in turn and fails
-// what has waited 2 s; a failed call costs it as much as an answered one. Returns when each was answered.
-std::vector<Micros> AskOneService(int gateways, Micros day) {
-  std::vector<discovery::PollBackoff> routers;
-  std::multimap<Micros, std::size_t> calls;
-  for (int i = 0; i < gateways; ++i) {
-    routers.emplace_back(AskSettings(gateways), static_cast<std::uint64_t>(i) + 1);
-    calls.emplace(routers.back().NextDelay(), routers.size() - 1);
+// Simulates routers whose watches broke at the same time and that reconnect to one service. The service
+// handles 20 calls a second, one after another, and fails each call that waited longer than 2 s. A failed
+// call costs it as much as a successful one. Returns the times of the successful responses.
+std::vector<Micros> SimulateReconnects(int num_routers, Micros duration) {
+  std::vector<discovery::ReconnectBackoff> routers;
+  std::multimap<Micros, std::size_t> pending_calls;
+  for (int i = 0; i < num_routers; ++i) {
+    routers.emplace_back(PollingSettings(num_routers), static_cast<std::uint64_t>(i) + 1);
+    pending_calls.emplace(routers.back().NextDelay(), routers.size() - 1);
   }
-  std::vector<Micros> answered;
-  Micros free_at = 0;
-  while (!calls.empty() && calls.begin()->first < day) {
-    const auto [at, router] = *calls.begin();
-    calls.erase(calls.begin());
-    free_at = std::max(free_at, at) + 50 * kMs;
-    if (free_at - at <= 2 * kSecond) {
-      answered.push_back(free_at);
+  std::vector<Micros> response_times;
+  Micros service_free_at = 0;
+  while (!pending_calls.empty() && pending_calls.begin()->first < duration) {
+    const auto [called_at, router] = *pending_calls.begin();
+    pending_calls.erase(pending_calls.begin());
+    service_free_at = std::max(service_free_at, called_at) + 50 * kMs;
+    if (service_free_at - called_at <= 2 * kSecond) {
+      response_times.push_back(service_free_at);
       routers[router].Reset();
     } else {
-      calls.emplace(at + 2 * kSecond + routers[router].NextDelay(), router);
+      pending_calls.emplace(called_at + 2 * kSecond + routers[router].NextDelay(), router);
     }
   }
-  return answered;
+  return response_times;
 }
 
-// Guards against a service full of calls that it fails: in step, every call waits too long, for the whole
-// day.
-TEST(PollBackoff, AllRoutersHearAgainWhenTheirWatchesBreakTogether) {
-  for (const int gateways : {3, 100, 300}) {
-    const std::vector<Micros> answered = AskOneService(gateways, 40 * kSecond);
-    EXPECT_EQ(answered.size(), static_cast<std::size_t>(gateways));
+// Guards against routers that retry in step, so that every call waits too long and the service only handles
+// calls that fail, for as long as the simulation runs.
+TEST(ReconnectBackoff, AllRoutersReconnectAfterSimultaneousDisconnects) {
+  for (const int num_routers : {3, 100, 300}) {
+    const std::vector<Micros> response_times = SimulateReconnects(num_routers, 40 * kSecond);
+    EXPECT_EQ(response_times.size(), static_cast<std::size_t>(num_routers));
   }
-  const std::vector<Micros> answered = AskOneService(100, 40 * kSecond);
-  EXPECT_LT(answered[answered.size() * 9 / 10], 10 * kSecond);
+  const std::vector<Micros> response_times = SimulateReconnects(100, 40 * kSecond);
+  EXPECT_LT(response_times[response_times.size() * 9 / 10], 10 * kSecond);
 }
 
-// Guards against few routers that wait for room which they do not need, and against any that wait longer than
-// they may.
-TEST(PollBackoff, FewRoutersAskAtOnceAndNoneWaitsForLong) {
-  discovery::PollBackoff few(AskSettings(3), 7);
-  EXPECT_LE(few.NextDelay(), 300 * kMs);
-  discovery::PollBackoff many(AskSettings(300), 7);
-  Micros longest = 0;
-  for (int i = 0; i < 200; ++i) longest = std::max(longest, many.NextDelay());
-  EXPECT_LE(longest, 2 * 10 * kSecond + 1600 * kMs);
-  EXPECT_GT(longest, 10 * kSecond);
-  EXPECT_EQ(many.response_timeout(), discovery::PollBackoff::kHeartbeatTimeout);
-  few.Reset();
-  EXPECT_LE(few.NextDelay(), 300 * kMs);
+// Guards against unnecessary delays for a small number of routers, and against delays above the limit for any
+// number.
+TEST(ReconnectBackoff, FewRoutersReconnectPromptlyAndDelaysAreBounded) {
+  discovery::ReconnectBackoff few_routers(PollingSettings(3), 7);
+  EXPECT_LE(few_routers.NextDelay(), 300 * kMs);
+  discovery::ReconnectBackoff many_routers(PollingSettings(300), 7);
+  Micros longest_delay = 0;
+  for (int i = 0; i < 200; ++i) longest_delay = std::max(longest_delay, many_routers.NextDelay());
+  EXPECT_LE(longest_delay, 2 * 10 * kSecond + 1600 * kMs);
+  EXPECT_GT(longest_delay, 10 * kSecond);
+  EXPECT_EQ(many_routers.response_timeout(), discovery::ReconnectBackoff::kHeartbeatTimeout);
+  few_routers.Reset();
+  EXPECT_LE(few_routers.NextDelay(), 300 * kMs);
 }
 
-// Guards against a list that is heard too late: what the agent holds counts as told while no watch is open,
-// and what a silent watch misses counts so 6 s after it fell silent, at whatever moment of the beat that was.
-TEST(PollBackoff, AnAgentIsAskedAgainInAPartOfTheGraceAndASilentWatchIsOpenedAnewInTime) {
-  for (const Micros grace : {0 * kMs, 50 * kMs, 250 * kMs, 2000 * kMs, 9000 * kMs}) {
-    Settings pushed = AskSettings(300);
-    pushed.poll_endpoint_list = false;
-    pushed.drain_timeout = grace;
-    discovery::PollBackoff agent(pushed, 7);
-    const Micros first = agent.NextDelay();
-    for (int i = 0; i < 20; ++i) EXPECT_EQ(agent.NextDelay(), first);
-    EXPECT_GE(first, 10 * kMs);
-    EXPECT_LE(first, 100 * kMs);
-    if (grace >= 250 * kMs) {
-      EXPECT_LT(agent.response_timeout() + first, grace);
+// Guards against learning the list too late. The router counts as informed of the agent's state even while no
+// watch is open, and of what a silent watch misses 6 s after the silence began, at any point within the
+// heartbeat interval.
+TEST(ReconnectBackoff, RetriesAgentsWithinTheDrainTimeoutAndReplacesSilentWatchesInTime) {
+  for (const Micros drain_duration : {0 * kMs, 50 * kMs, 250 * kMs, 2000 * kMs, 9000 * kMs}) {
+    Settings agent_settings = PollingSettings(300);
+    agent_settings.poll_endpoint_list = false;
+    agent_settings.drain_timeout = drain_duration;
+    discovery::ReconnectBackoff agent_backoff(agent_settings, 7);
+    const Micros retry_delay = agent_backoff.NextDelay();
+    for (int i = 0; i < 20; ++i) EXPECT_EQ(agent_backoff.NextDelay(), retry_delay);
+    EXPECT_GE(retry_delay, 10 * kMs);
+    EXPECT_LE(retry_delay, 100 * kMs);
+    if (drain_duration >= 250 * kMs) {
+      EXPECT_LT(agent_backoff.response_timeout() + retry_delay, drain_duration);
     }
-    // The first one that is opened anew may be silent as well.
-    for (Micros silent_for = 0; silent_for <= discovery::PollBackoff::kHeartbeatInterval;
-         silent_for += 100 * kMs) {
-      const Micros fell_silent = silent_for;  // after the last word
-      const Micros again =
-          discovery::PollBackoff::kHeartbeatTimeout + first + agent.response_timeout() + first;
-      EXPECT_LT(again - fell_silent, 6000 * kMs);
+    // The first replacement watch may be silent as well.
+    for (Micros silence_offset = 0; silence_offset <= discovery::ReconnectBackoff::kHeartbeatInterval;
+         silence_offset += 100 * kMs) {
+      const Micros silence_started_at = silence_offset;  // after the last heartbeat
+      const Micros reconnected_at = discovery::ReconnectBackoff::kHeartbeatTimeout + retry_delay +
+                                    agent_backoff.response_timeout() + retry_delay;
+      EXPECT_LT(reconnected_at - silence_started_at, 6000 * kMs);
     }
-    EXPECT_GT(discovery::PollBackoff::kHeartbeatTimeout, 2 * discovery::PollBackoff::kHeartbeatInterval);
+    EXPECT_GT(discovery::ReconnectBackoff::kHeartbeatTimeout,
+              2 * discovery::ReconnectBackoff::kHeartbeatInterval);
   }
 }
 
