--- a/src/server/admin_calls.hpp
+++ b/src/server/admin_request_handler.hpp
@@ -1,7 +1,7 @@
 // The calls of the admin server: readiness, counters, the view of the servers, and taking the process out of
 // service and back.
-#ifndef TULIPYOKE_SRC_SERVER_ADMIN_CALLS_HPP_
-#define TULIPYOKE_SRC_SERVER_ADMIN_CALLS_HPP_
+#ifndef TULIPYOKE_SRC_SERVER_ADMIN_REQUEST_HANDLER_HPP_
+#define TULIPYOKE_SRC_SERVER_ADMIN_REQUEST_HANDLER_HPP_
 
 #include <string>
 
@@ -14,19 +14,19 @@
 namespace tulipyoke::net {
 
 // Used on the event loop's thread only. What it is given must outlive it.
-class AdminCalls {
+class AdminRequestHandler {
  public:
   // `directory` is null where the registry is the only source of servers: there is no view of them then.
-  AdminCalls(LoopClock& clock, Dispatcher& dispatcher, ServingState& serving_state,
-             const discovery::DnsSdDiscovery* directory);
+  AdminRequestHandler(LoopClock& clock, Dispatcher& dispatcher, ServingState& serving_state,
+                      const discovery::DnsSdDiscovery* dns_sd_discovery);
 
-  AdminResponse Answer(const std::string& method, const std::string& path);
+  AdminResponse Handle(const std::string& method, const std::string& path);
 
  private:
   struct Route;
   static const Route kRoutes[];
 
-  const Route* Find(const std::string& path) const;
+  const Route* FindRoute(const std::string& path) const;
   AdminResponse Ready();
   AdminResponse Counters();
   AdminResponse Servers();
@@ -36,9 +36,9 @@
   LoopClock& clock_;
   Dispatcher& dispatcher_;
   ServingState& serving_state_;
-  const discovery::DnsSdDiscovery* directory_;
+  const discovery::DnsSdDiscovery* dns_sd_discovery_;
 };
 
 }  // namespace tulipyoke::net
 
-#endif  // TULIPYOKE_SRC_SERVER_ADMIN_CALLS_HPP_
+#endif  // TULIPYOKE_SRC_SERVER_ADMIN_REQUEST_HANDLER_HPP_
--- a/src/server/command_executor.cpp
+++ b/src/server/command_executor.cpp
@@ -20,7 +20,7 @@
   std::vector<Command> commands = dispatcher_.TakeCommands();
   while (!commands.empty()) {
     for (const Command& command : commands) {
-      std::visit([this](const auto& kind) { Execute(kind); }, command);
+      std::visit([this](const auto& concrete_command) { Execute(concrete_command); }, command);
     }
     commands = dispatcher_.TakeCommands();
   }
@@ -47,7 +47,7 @@
 void CommandExecutor::Execute(const RefreshEndpointList&) { registry_watch_.Refresh(); }
 
 void CommandExecutor::Execute(const ReplicateToPeer& command) {
-  std::visit([this](const auto& news) { hot_restart_.Broadcast(news); }, command.update);
+  std::visit([this](const auto& message) { hot_restart_.Broadcast(message); }, command.update);
 }
 
 void CommandExecutor::Execute(const WriteLog& command) { LogInfo("decision", "decisions: " + command.text); }
--- a/src/server/counters_log.cpp
+++ b/src/server/counters_log.cpp
@@ -95,9 +95,9 @@
   LogInfo("zone", line.text());
 }
 
-void LogDirectory(const discovery::DnsSdDiscovery& directory) {
-  LogMembership(directory.membership());
-  for (const discovery::DnsSdDiscovery::ZoneStatus& zone : directory.Zones()) LogZone(zone);
+void LogDnsSdDiscovery(const discovery::DnsSdDiscovery& dns_sd_discovery) {
+  LogMembership(dns_sd_discovery.membership());
+  for (const discovery::DnsSdDiscovery::ZoneStatus& zone : dns_sd_discovery.Zones()) LogZone(zone);
 }
 
 void LogRegistryWatch(const discovery::RegistryWatch& registry_watch) {
@@ -117,7 +117,7 @@
   LogClients(sources.listener);
   LogServers(sources.pool);
   if (sources.admin_server) LogAdminServer(*sources.admin_server);
-  if (sources.directory) LogDirectory(*sources.directory);
+  if (sources.dns_sd_discovery) LogDnsSdDiscovery(*sources.dns_sd_discovery);
   LogRegistryWatch(sources.registry_watch);
 }
 
--- a/src/server/counters_log.hpp
+++ b/src/server/counters_log.hpp
@@ -18,8 +18,9 @@
   const ClientListener& listener;
   const UpstreamPool& pool;
   const discovery::RegistryWatch& registry_watch;
-  const AdminServer* admin_server = nullptr;             // null: there is none
-  const discovery::DnsSdDiscovery* directory = nullptr;  // null: the registry is the only source of servers
+  const AdminServer* admin_server = nullptr;  // null: there is none
+  const discovery::DnsSdDiscovery* dns_sd_discovery =
+      nullptr;  // null: the registry is the only source of servers
 };
 
 // One line for each source, as of `now`.
--- a/src/server/graceful_shutdown.cpp
+++ b/src/server/graceful_shutdown.cpp
@@ -12,7 +12,7 @@
 // How often a shutdown checks whether it is finished, where nothing else wakes the event loop.
 constexpr auto kCheckInterval = std::chrono::milliseconds(10);
 // How long a message whose first bytes have come in is waited for.
-constexpr Micros kIncompleteMessagePatience = 2'200'000;
+constexpr Micros kIncompleteMessageGrace = 2'200'000;
 
 }  // namespace
 
@@ -30,7 +30,7 @@
   if (begun_at_) return;
   begun_at_ = clock_.Now();
   serving_state_.Stop(*begun_at_);
-  dispatcher_.SetDrainDeadline(*begun_at_ + plan_.answer_by);
+  dispatcher_.SetDrainDeadline(*begun_at_ + plan_.response_deadline);
   LogInfo("told_to_stop", "told to stop");
 }
 
@@ -39,7 +39,7 @@
   const Micros now = clock_.Now();
   const Micros elapsed = now - *begun_at_;
   StopAcceptingAfterDrainWindow(now);
-  if (elapsed >= plan_.answer_by) listener_.RejectClientsWithoutRequests();
+  if (elapsed >= plan_.response_deadline) listener_.RejectClientsWithoutRequests();
   if (Finished(elapsed)) return true;
   ArmTimer();
   return false;
@@ -54,13 +54,13 @@
 }
 
 bool GracefulShutdown::Finished(Micros elapsed) const {
-  if (elapsed >= plan_.exit_by) return true;
+  if (elapsed >= plan_.exit_deadline) return true;
   if (accepting_) return false;
   if (listener_.clients() == 0) return true;
   // The successor of this process, and other routers that are stopped in turn, wait for its end: it does not
   // wait for clients that only hold a connection. Handed over, its successor serves already.
   const bool handed_over = serving_state_.state() == ServingState::State::kHandedOver;
-  return !handed_over && !listener_.HasUnfinishedClients(kIncompleteMessagePatience);
+  return !handed_over && !listener_.HasUnfinishedClients(kIncompleteMessageGrace);
 }
 
 // Armed anew only once it has expired: moving it would complete its wait, and that would begin an iteration
--- a/src/server/hot_restart_coordinator.cpp
+++ b/src/server/hot_restart_coordinator.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // The share of descriptors and memory that each of two processes of this router has.
-constexpr double kShareBesideAnother = 0.5;
+constexpr double kHalfShare = 0.5;
 // Connections to servers that the older process keeps beyond one for each request.
 constexpr std::size_t kSpareServerConnections = 16;
 constexpr auto kReduceQuotaInterval = std::chrono::milliseconds(50);
@@ -24,7 +24,9 @@
 const char* NameOf(PeerProcess peer) { return peer == PeerProcess::kOlder ? "older" : "newer"; }
 
 // A process without a listening socket that is shared by all processes of the router cannot hand over.
-std::string FolderOf(const Config& config) { return !config.accept_fd ? "" : config.shared_directory; }
+std::string HotRestartDirectory(const Config& config) {
+  return !config.accept_fd ? "" : config.shared_directory;
+}
 
 }  // namespace
 
@@ -37,12 +39,12 @@
       serving_state_(serving_state),
       pool_(pool),
       listener_(listener),
-      hot_restart_(io, FolderOf(config), config.name, config.seed, Events()),
-      sync_timer_(io),
-      sessions_timer_(io),
+      hot_restart_(io, HotRestartDirectory(config), config.name, config.seed, MakeEvents()),
+      older_sync_timer_(io),
+      session_sync_timer_(io),
       quota_timer_(io) {}
 
-HotRestartEvents HotRestartCoordinator::Events() {
+HotRestartEvents HotRestartCoordinator::MakeEvents() {
   return {
       [this](PeerProcess peer, HotRestartStep step) { OnStep(peer, step); },
       [this](const DescriptorUsage& usage) { OnDescriptorUsage(usage); },
@@ -53,25 +55,25 @@
 }
 
 void HotRestartCoordinator::Start() {
-  if (!hot_restart_.ConnectToOlder()) return Serve();
+  if (!hot_restart_.ConnectToOlder()) return StartServing();
   LogInfo("takes_over", config_.name + " takes over from a running process", {{"name", config_.name}});
-  SetQuota(kShareBesideAnother);
+  SetQuota(kHalfShare);
   dispatcher_.SetReplicationEnabled(true);
   dispatcher_.SetSessionSync(clock_.Now(), {.complete = false});
-  AwaitStateOfOlder();
+  StartSyncTimeout();
 }
 
-void HotRestartCoordinator::AwaitStateOfOlder() {
-  sync_timer_.ExpireAfter(kSyncTimeout, [this] {
+void HotRestartCoordinator::StartSyncTimeout() {
+  older_sync_timer_.ExpireAfter(kSyncTimeout, [this] {
     if (serving_state_.state() != ServingState::State::kStarting) return;
     hot_restart_.Disconnect(PeerProcess::kOlder);
-    Serve();
+    StartServing();
   });
 }
 
-void HotRestartCoordinator::Serve() {
+void HotRestartCoordinator::StartServing() {
   if (serving_state_.state() != ServingState::State::kStarting) return;
-  sync_timer_.Cancel();
+  older_sync_timer_.Cancel();
   serving_state_.Start();
   listener_.StartAccepting();
   hot_restart_.SendStep(PeerProcess::kOlder, HotRestartStep::kServing);
@@ -88,16 +90,16 @@
   if (peer == PeerProcess::kOlder) {
     if (step != HotRestartStep::kSynced) return;
     dispatcher_.SetSessionSync(clock_.Now(), {.complete = true});
-    return Serve();
+    return StartServing();
   }
-  if (step == HotRestartStep::kHello) return ShareWithNewer();
+  if (step == HotRestartStep::kHello) return SyncWithNewer();
   if (step == HotRestartStep::kServing) return HandOverToNewer();
 }
 
-void HotRestartCoordinator::ShareWithNewer() {
+void HotRestartCoordinator::SyncWithNewer() {
   LogInfo("newer_process", "a newer process has come: half of the room is left to it");
   // The quota first: both processes together hold no more than one may.
-  SetQuota(kShareBesideAnother);
+  SetQuota(kHalfShare);
   dispatcher_.SetReplicationEnabled(true);
   for (const ServerUpdate& server : dispatcher_.ServerSnapshot()) hot_restart_.SendToNewer(server);
   for (const SessionUpdate& session : dispatcher_.SessionSnapshot()) hot_restart_.SendToNewer(session);
@@ -116,7 +118,7 @@
 void HotRestartCoordinator::ReduceQuota() {
   if (serving_state_.state() != ServingState::State::kHandedOver) return;
   pool_.SetMaxConnections(dispatcher_.in_progress() + kSpareServerConnections);
-  const int descriptors = static_cast<int>(listener_.clients() + pool_.connections()) + kOwnDescriptors;
+  const int descriptors = static_cast<int>(listener_.clients() + pool_.connections()) + kReservedDescriptors;
   if (descriptors < reported_descriptors_) {
     reported_descriptors_ = descriptors;
     hot_restart_.SendToNewer(DescriptorUsage{descriptors});
@@ -127,7 +129,7 @@
 // The older process needs less and less: this one has the rest.
 void HotRestartCoordinator::OnDescriptorUsage(const DescriptorUsage& usage) {
   const double configured = config_.max_sockets;
-  SetQuota(std::max(kShareBesideAnother, (configured - usage.descriptors) / configured));
+  SetQuota(std::max(kHalfShare, (configured - usage.descriptors) / configured));
 }
 
 void HotRestartCoordinator::OnDisconnected(PeerProcess peer, DisconnectReason reason) {
@@ -135,11 +137,11 @@
   LogInfo("partner_left",
           std::string("the ") + NameOf(peer) + " process " + (finished ? "has ended" : "broke off"));
   if (hot_restart_.alone()) {
-    SetQuota(kWholeShare);
+    SetQuota(kFullShare);
     dispatcher_.SetReplicationEnabled(false);
   }
   if (!finished) InvalidateSessions();
-  if (peer == PeerProcess::kOlder) return Serve();
+  if (peer == PeerProcess::kOlder) return StartServing();
   if (serving_state_.state() != ServingState::State::kHandedOver) return;
   serving_state_.TakeBack(clock_.Now());
   if (serving_state_.ready()) listener_.StartAccepting();
@@ -150,7 +152,7 @@
 // lost.
 void HotRestartCoordinator::InvalidateSessions() {
   dispatcher_.SetSessionSync(clock_.Now(), {.complete = false});
-  sessions_timer_.ExpireAfter(std::chrono::microseconds(LongestDeadline(config_.settings)), [this] {
+  session_sync_timer_.ExpireAfter(std::chrono::microseconds(LongestDeadline(config_.settings)), [this] {
     dispatcher_.SetSessionSync(clock_.Now(), {.complete = true, .lost = true});
   });
 }
--- a/src/server/hot_restart_coordinator.hpp
+++ b/src/server/hot_restart_coordinator.hpp
@@ -33,15 +33,15 @@
   void Stop() { hot_restart_.Stop(); }
 
  private:
-  HotRestartEvents Events();
+  HotRestartEvents MakeEvents();
   void OnStep(PeerProcess peer, HotRestartStep step);
   void OnDescriptorUsage(const DescriptorUsage& usage);
   void OnDisconnected(PeerProcess peer, DisconnectReason reason);
-  void ShareWithNewer();
+  void SyncWithNewer();
   void HandOverToNewer();
   // Takes clients from now on; the older process, if there is one, is told to take no more.
-  void Serve();
-  void AwaitStateOfOlder();
+  void StartServing();
+  void StartSyncTimeout();
   // Sessions whose writes were not replicated are treated as unknown until all such writes are over.
   void InvalidateSessions();
   void SetQuota(double share);
@@ -55,8 +55,8 @@
   UpstreamPool& pool_;
   ClientListener& listener_;
   HotRestart hot_restart_;
-  CancellableTimer sync_timer_;
-  CancellableTimer sessions_timer_;
+  CancellableTimer older_sync_timer_;
+  CancellableTimer session_sync_timer_;
   CancellableTimer quota_timer_;
   int reported_descriptors_ = 0;
 };
--- a/src/server/resource_quota.hpp
+++ b/src/server/resource_quota.hpp
@@ -11,10 +11,10 @@
 
 // Descriptors that are neither a client's nor a server's: standard streams, the event loop's own, the
 // listening socket, discovery, and clients that are being rejected because all places are taken.
-inline constexpr int kOwnDescriptors = 48;
+inline constexpr int kReservedDescriptors = 48;
 
 // The share of the configured limits of a process that is the only one of its router.
-inline constexpr double kWholeShare = 1;
+inline constexpr double kFullShare = 1;
 
 struct ResourceQuota {
   ListenerLimits clients;
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -21,25 +21,25 @@
 // Replication positions are counted from the configured origin, a time of Unix. One that is not within this
 // long before the start was taken from another clock and says nothing of Unix time: they are counted from
 // shortly before the start instead.
-constexpr Micros kOldestOrigin = 86'400'000'000;
-constexpr Micros kOriginBeforeStart = 600'000'000;
+constexpr Micros kMaxOriginAge = 86'400'000'000;
+constexpr Micros kFallbackOriginAge = 600'000'000;
 
 DispatcherOptions MakeDispatcherOptions(const Config& config, Micros now) {
   DispatcherOptions options{config.settings,        config.seed, config.failure_domains, config.server_kinds,
                             config.connect_timeout, config.trace};
   options.settings.reports_are_floats = false;
   const Micros origin = options.settings.position_epoch;
-  if (origin > now || origin < now - kOldestOrigin)
-    options.settings.position_epoch = now - kOriginBeforeStart;
+  if (origin > now || origin < now - kMaxOriginAge)
+    options.settings.position_epoch = now - kFallbackOriginAge;
   return options;
 }
 
 UpstreamPoolOptions MakePoolOptions(const Config& config) {
-  return {config.connect_timeout, config.idle_timeout, QuotaFor(config, kWholeShare).server_connections};
+  return {config.connect_timeout, config.idle_timeout, QuotaFor(config, kFullShare).server_connections};
 }
 
 ListenerOptions MakeListenerOptions(const Config& config, std::function<void()> before_request) {
-  return {ToEndpoint(config.listen_address), QuotaFor(config, kWholeShare).clients,
+  return {ToEndpoint(config.listen_address), QuotaFor(config, kFullShare).clients,
           config.accept_fd.value_or(-1), std::move(before_request)};
 }
 
@@ -58,18 +58,19 @@
       pool_(io_, clock_, dispatcher_, MakePoolOptions(config)),
       listener_(io_, clock_, dispatcher_, serving_state_,
                 MakeListenerOptions(config, [this] { hot_restart_.ReceivePending(); })),
-      directory_(MakeDirectory()),
+      dns_sd_discovery_(MakeDnsSdDiscovery()),
       registry_watch_(
           io_, [this](const EndpointList& listing) { OnRegistryListing(listing); }, RegistryAddress(config),
           config.cached_listing.version, discovery::PollBackoff(config.settings, config.seed)),
-      admin_calls_(clock_, dispatcher_, serving_state_, directory_.get()),
+      admin_request_handler_(clock_, dispatcher_, serving_state_, dns_sd_discovery_.get()),
       hot_restart_(io_, clock_, config_, dispatcher_, serving_state_, pool_, listener_),
       command_executor_(dispatcher_, pool_, listener_, registry_watch_, hot_restart_),
       shutdown_(io_, clock_, PlanShutdown(config.settings), dispatcher_, serving_state_, listener_),
       dispatcher_timer_(io_) {
   signals_.add(SIGUSR1);
   dispatcher_.Start(clock_.Now(), config.cached_listing);
-  if (directory_ && !config.cached_listing.servers.empty()) directory_->SeedRegistry(config.cached_listing);
+  if (dns_sd_discovery_ && !config.cached_listing.servers.empty())
+    dns_sd_discovery_->SeedRegistry(config.cached_listing);
   StartAdminServer();
   AwaitSignal();
   hot_restart_.Start();
@@ -79,11 +80,11 @@
   if (config_.admin_address.empty()) return;
   admin_server_.emplace(io_, ToEndpoint(config_.admin_address),
                         [this](const std::string& method, const std::string& path) {
-                          return admin_calls_.Answer(method, path);
+                          return admin_request_handler_.Handle(method, path);
                         });
 }
 
-std::unique_ptr<discovery::DnsSdDiscovery> Server::MakeDirectory() {
+std::unique_ptr<discovery::DnsSdDiscovery> Server::MakeDnsSdDiscovery() {
   if (!config_.membership.enabled()) return nullptr;
   return std::make_unique<discovery::DnsSdDiscovery>(
       io_, clock_, config_.membership,
@@ -91,7 +92,7 @@
 }
 
 void Server::OnRegistryListing(const EndpointList& listing) {
-  if (directory_) return directory_->OnRegistryUpdate(listing);
+  if (dns_sd_discovery_) return dns_sd_discovery_->OnRegistryUpdate(listing);
   dispatcher_.UpdateEndpoints(clock_.Now(), listing);
 }
 
@@ -119,12 +120,12 @@
 }
 
 void Server::ArmDispatcherTimer() {
-  const std::optional<Micros> due = dispatcher_.NextTimerExpiry();
-  if (!due || due == dispatcher_timer_armed_for_) return;
-  dispatcher_timer_armed_for_ = due;
-  dispatcher_timer_.expires_at(clock_.ToSteady(*due));
+  const std::optional<Micros> expiry = dispatcher_.NextTimerExpiry();
+  if (!expiry || expiry == dispatcher_timer_expiry_) return;
+  dispatcher_timer_expiry_ = expiry;
+  dispatcher_timer_.expires_at(clock_.ToSteady(*expiry));
   dispatcher_timer_.async_wait([this](std::error_code error) {
-    if (!error) dispatcher_timer_armed_for_.reset();
+    if (!error) dispatcher_timer_expiry_.reset();
   });
 }
 
@@ -160,7 +161,8 @@
 
 void Server::LogAllCounters() {
   const AdminServer* const admin_server = admin_server_ ? &*admin_server_ : nullptr;
-  LogCounters({dispatcher_, listener_, pool_, registry_watch_, admin_server, directory_.get()}, clock_.Now());
+  LogCounters({dispatcher_, listener_, pool_, registry_watch_, admin_server, dns_sd_discovery_.get()},
+              clock_.Now());
 }
 
 }  // namespace tulipyoke::net
--- a/src/server/server.hpp
+++ b/src/server/server.hpp
@@ -15,7 +15,7 @@
 #include "src/dispatch/dispatcher.hpp"
 #include "src/event_loop/loop_clock.hpp"
 #include "src/listener/client_listener.hpp"
-#include "src/server/admin_calls.hpp"
+#include "src/server/admin_request_handler.hpp"
 #include "src/server/command_executor.hpp"
 #include "src/server/graceful_shutdown.hpp"
 #include "src/server/hot_restart_coordinator.hpp"
@@ -42,7 +42,7 @@
 
  private:
   void StartAdminServer();
-  std::unique_ptr<discovery::DnsSdDiscovery> MakeDirectory();
+  std::unique_ptr<discovery::DnsSdDiscovery> MakeDnsSdDiscovery();
   void OnRegistryListing(const EndpointList& listing);
   void AwaitSignal();
   void OnSignal(int signal);
@@ -60,15 +60,16 @@
   ServingState serving_state_;
   UpstreamPool pool_;
   ClientListener listener_;
-  std::unique_ptr<discovery::DnsSdDiscovery> directory_;  // null: the registry is the only source of servers
+  std::unique_ptr<discovery::DnsSdDiscovery>
+      dns_sd_discovery_;  // null: the registry is the only source of servers
   discovery::RegistryWatch registry_watch_;
-  AdminCalls admin_calls_;
+  AdminRequestHandler admin_request_handler_;
   std::optional<AdminServer> admin_server_;
   HotRestartCoordinator hot_restart_;
   CommandExecutor command_executor_;
   GracefulShutdown shutdown_;
   asio::steady_timer dispatcher_timer_;
-  std::optional<Micros> dispatcher_timer_armed_for_;
+  std::optional<Micros> dispatcher_timer_expiry_;
   bool finished_ = false;
   std::uint64_t iterations_ = 0;
 };
--- a/src/server/shutdown_plan.cpp
+++ b/src/server/shutdown_plan.cpp
@@ -6,18 +6,18 @@
 namespace {
 
 // The process is killed at the earliest this long after SIGTERM and the longest deadline.
-constexpr Micros kKillAfterDeadline = 700'000;
+constexpr Micros kMinKillDelay = 700'000;
 // A longer deadline counts as this one.
-constexpr Micros kLongestCountedDeadline = 3'000'000;
+constexpr Micros kMaxCountedDeadline = 3'000'000;
 // How long before the kill all is answered, and the process exits.
-constexpr Micros kAnswerMargin = 300'000;
+constexpr Micros kResponseMargin = 300'000;
 constexpr Micros kExitMargin = 150'000;
 
 }  // namespace
 
 ShutdownPlan PlanShutdown(const Settings& settings) {
-  const Micros kill = std::min(LongestDeadline(settings), kLongestCountedDeadline) + kKillAfterDeadline;
-  return {kill - kAnswerMargin, kill - kExitMargin};
+  const Micros kill_time = std::min(LongestDeadline(settings), kMaxCountedDeadline) + kMinKillDelay;
+  return {kill_time - kResponseMargin, kill_time - kExitMargin};
 }
 
 Micros LongestDeadline(const Settings& settings) {
--- a/src/server/shutdown_plan.hpp
+++ b/src/server/shutdown_plan.hpp
@@ -8,8 +8,8 @@
 
 // Counted from the signal that asks for the shutdown.
 struct ShutdownPlan {
-  Micros answer_by = 0;  // each request has its answer
-  Micros exit_by = 0;    // the process ends, whatever is still open
+  Micros response_deadline = 0;  // each request has its answer
+  Micros exit_deadline = 0;      // the process ends, whatever is still open
 };
 
 // Leaves time for the longest deadline, within the time after which the process is killed.
--- a/tests/server/admin_calls_test.cpp
+++ b/tests/server/admin_request_handler_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // The counters match the answers that were sent; unknown paths and wrong methods are rejected.
-TEST(AdminCalls, ReturnsCountersAndRejectsUnknownCalls) {
+TEST(AdminRequestHandler, ReturnsCountersAndRejectsUnknownCalls) {
   ScriptedServer server([](const std::string& query) {
     return query.find("id=2") == std::string::npos ? Row("v") : std::string(kShape.size(), '\xff');
   });
@@ -42,7 +42,7 @@
 }
 
 // Connections that send nothing do not keep an operator out.
-TEST(AdminCalls, SilentConnectionsDoNotBlockOthers) {
+TEST(AdminRequestHandler, SilentConnectionsDoNotBlockOthers) {
   RunningServer router({1});
   std::vector<tcp::socket> silent;
   for (int i = 0; i < 40; ++i) silent.push_back(router.ConnectToAdminServer(i % 2 ? "" : "GET /control/re"));
@@ -50,7 +50,7 @@
 }
 
 // Out of service, the router drains without cutting off a request, and it can be returned to service.
-TEST(AdminCalls, DrainsOutOfServiceAndReturnsToService) {
+TEST(AdminRequestHandler, DrainsOutOfServiceAndReturnsToService) {
   std::mutex gate;
   gate.lock();
   ScriptedServer server([&](const std::string&) {
--- a/tests/server/graceful_shutdown_test.cpp
+++ b/tests/server/graceful_shutdown_test.cpp
@@ -181,10 +181,10 @@
   Settings settings;
   settings.classes.resize(2);
   settings.classes[0].deadline = 1'200'000;
-  EXPECT_EQ(PlanShutdown(settings).answer_by, 1'600'000);
+  EXPECT_EQ(PlanShutdown(settings).response_deadline, 1'600'000);
   settings.classes[1].deadline = 5'000'000;
-  EXPECT_EQ(PlanShutdown(settings).answer_by, 3'400'000);
-  EXPECT_LT(PlanShutdown(settings).exit_by, 3'700'000);
+  EXPECT_EQ(PlanShutdown(settings).response_deadline, 3'400'000);
+  EXPECT_LT(PlanShutdown(settings).exit_deadline, 3'700'000);
 }
 
 }  // namespace
--- a/tests/server/resource_quota_test.cpp
+++ b/tests/server/resource_quota_test.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t kMemory = std::size_t{64} << 20;
 
 TEST(ResourceQuota, OfAProcessThatIsAlone) {
-  const ResourceQuota quota = QuotaFor(ConfigOf(256, kMemory), kWholeShare);
+  const ResourceQuota quota = QuotaFor(ConfigOf(256, kMemory), kFullShare);
   EXPECT_EQ(quota.clients.max_clients, 114u);
   EXPECT_EQ(quota.clients.max_open_requests, 51u);
   EXPECT_EQ(quota.clients.eviction_threshold, 64u);
@@ -39,7 +39,7 @@
 
 // With few descriptors, half of them are for connections, although the process itself may use more.
 TEST(ResourceQuota, OfAProcessWithFewDescriptors) {
-  const ResourceQuota quota = QuotaFor(ConfigOf(64, kMemory), kWholeShare);
+  const ResourceQuota quota = QuotaFor(ConfigOf(64, kMemory), kFullShare);
   EXPECT_EQ(quota.clients.max_clients, 17u);
   EXPECT_EQ(quota.clients.max_open_requests, 12u);
   EXPECT_EQ(quota.clients.eviction_threshold, 16u);
