--- a/src/server/admin_request_handler.cpp
+++ b/src/server/admin_request_handler.cpp
@@ -13,7 +13,7 @@
 
 struct AdminRequestHandler::Route {
   std::string_view path;
-  std::string_view method;  // the only one that the path is called with
+  std::string_view method;  // the only method allowed for the path
   AdminResponse (AdminRequestHandler::*handler)();
 };
 
@@ -68,13 +68,13 @@
 AdminResponse AdminRequestHandler::OutOfService() {
   serving_state_.TakeOutOfService(clock_.Now());
   LogInfo("taken_out",
-          "taken out of service: " + std::to_string(dispatcher_.in_progress()) + " requests are still out");
+          "taken out of service: " + std::to_string(dispatcher_.in_progress()) + " requests in progress");
   return {HTTP_STATUS_OK, "out of service\n"};
 }
 
 AdminResponse AdminRequestHandler::InService() {
   if (!serving_state_.ReturnToService()) return {HTTP_STATUS_CONFLICT, "stopping\n"};
-  LogInfo("put_back", "put back into service");
+  LogInfo("put_back", "returned to service");
   return {HTTP_STATUS_OK, "in service\n"};
 }
 
--- a/src/server/admin_request_handler.hpp
+++ b/src/server/admin_request_handler.hpp
@@ -1,5 +1,5 @@
-// The calls of the admin server: readiness, counters, the view of the servers, and taking the process out of
-// service and back.
+// Handles the requests of the admin server: readiness, counters, the state of the servers, and taking the
+// process out of service and back.
 #ifndef TULIPYOKE_SRC_SERVER_ADMIN_REQUEST_HANDLER_HPP_
 #define TULIPYOKE_SRC_SERVER_ADMIN_REQUEST_HANDLER_HPP_
 
@@ -13,10 +13,10 @@
 
 namespace tulipyoke::net {
 
-// Used on the event loop's thread only. What it is given must outlive it.
+// Used only on the event loop thread. The constructor arguments must outlive it.
 class AdminRequestHandler {
  public:
-  // `directory` is null where the registry is the only source of servers: there is no view of them then.
+  // `dns_sd_discovery` is null if the registry is the only source. The path for the servers then returns 404.
   AdminRequestHandler(LoopClock& clock, Dispatcher& dispatcher, ServingState& serving_state,
                       const discovery::DnsSdDiscovery* dns_sd_discovery);
 
--- a/src/server/command_executor.hpp
+++ b/src/server/command_executor.hpp
@@ -1,5 +1,5 @@
-// Executes the dispatcher's commands: on the servers' connections, the clients' ones, the watch on the
-// registry, the other processes of this router, and the log.
+// Executes the dispatcher's commands by calling the upstream pool, the client listener, the registry watch,
+// the hot restart coordinator and the log.
 #ifndef TULIPYOKE_SRC_SERVER_COMMAND_EXECUTOR_HPP_
 #define TULIPYOKE_SRC_SERVER_COMMAND_EXECUTOR_HPP_
 
@@ -11,14 +11,14 @@
 
 namespace tulipyoke::net {
 
-// Used on the event loop's thread only. What it is given must outlive it.
+// Used only on the event loop thread. The constructor arguments must outlive it.
 class CommandExecutor {
  public:
   CommandExecutor(Dispatcher& dispatcher, UpstreamPool& pool, ClientListener& listener,
                   discovery::RegistryWatch& registry_watch, HotRestartCoordinator& hot_restart);
 
-  // Executes all commands that there are, also those that come of executing one. To be called after each
-  // handler of the event loop: what one handler ended, the next one must not begin.
+  // Executes all pending commands, including those that result from executing others. Must be called after
+  // each handler of the event loop, so that the next handler cannot start an operation that this one ended.
   void ExecuteAll();
 
  private:
--- a/src/server/counters_log.cpp
+++ b/src/server/counters_log.cpp
@@ -9,7 +9,7 @@
 namespace tulipyoke::net {
 namespace {
 
-// `title: name=value name=value`
+// Builds a line of the form `title: name=value name=value`.
 class CounterLine {
  public:
   explicit CounterLine(std::string_view title) : text_(std::string(title) + ":") {}
--- a/src/server/counters_log.hpp
+++ b/src/server/counters_log.hpp
@@ -1,4 +1,4 @@
-// The counters that the process logs on SIGUSR1 and at its end.
+// Logs the counters of the process, on SIGUSR1 and at exit.
 #ifndef TULIPYOKE_SRC_SERVER_COUNTERS_LOG_HPP_
 #define TULIPYOKE_SRC_SERVER_COUNTERS_LOG_HPP_
 
@@ -12,18 +12,17 @@
 
 namespace tulipyoke::net {
 
-// What has counters; used only during the call that it is given to.
+// The objects whose counters are logged. LogCounters does not keep the references.
 struct CounterSources {
   const Dispatcher& dispatcher;
   const ClientListener& listener;
   const UpstreamPool& pool;
   const discovery::RegistryWatch& registry_watch;
-  const AdminServer* admin_server = nullptr;  // null: there is none
-  const discovery::DnsSdDiscovery* dns_sd_discovery =
-      nullptr;  // null: the registry is the only source of servers
+  const AdminServer* admin_server = nullptr;                    // null if there is no admin server
+  const discovery::DnsSdDiscovery* dns_sd_discovery = nullptr;  // null if the registry is the only source
 };
 
-// One line for each source, as of `now`.
+// Logs one line for each group of counters. Statistics are computed as of `now`.
 void LogCounters(const CounterSources& sources, Micros now);
 
 }  // namespace tulipyoke::net
--- a/src/server/graceful_shutdown.cpp
+++ b/src/server/graceful_shutdown.cpp
@@ -9,9 +9,9 @@
 namespace tulipyoke::net {
 namespace {
 
-// How often a shutdown checks whether it is finished, where nothing else wakes the event loop.
+// How often the shutdown checks whether it is finished while nothing else wakes the event loop.
 constexpr auto kCheckInterval = std::chrono::milliseconds(10);
-// How long a message whose first bytes have come in is waited for.
+// How long the shutdown waits for new clients and for the rest of incomplete messages.
 constexpr Micros kIncompleteMessageGrace = 2'200'000;
 
 }  // namespace
@@ -31,7 +31,7 @@
   begun_at_ = clock_.Now();
   serving_state_.Stop(*begun_at_);
   dispatcher_.SetDrainDeadline(*begun_at_ + plan_.response_deadline);
-  LogInfo("told_to_stop", "told to stop");
+  LogInfo("told_to_stop", "graceful shutdown started");
 }
 
 bool GracefulShutdown::Advance() {
@@ -48,23 +48,23 @@
 void GracefulShutdown::StopAcceptingAfterDrainWindow(Micros now) {
   if (!accepting_ || !serving_state_.DrainWindowElapsed(now)) return;
   accepting_ = false;
-  // Handed over, what waits in the shared listening socket belongs to the other process.
+  // After a handover, the connections in the backlog of the shared socket belong to the other process.
   if (serving_state_.state() != ServingState::State::kHandedOver) listener_.StopAccepting();
-  LogInfo("draining", "draining: " + std::to_string(dispatcher_.in_progress()) + " requests are still out");
+  LogInfo("draining", "draining: " + std::to_string(dispatcher_.in_progress()) + " requests in progress");
 }
 
 bool GracefulShutdown::Finished(Micros elapsed) const {
   if (elapsed >= plan_.exit_deadline) return true;
   if (accepting_) return false;
   if (listener_.clients() == 0) return true;
-  // The successor of this process, and other routers that are stopped in turn, wait for its end: it does not
-  // wait for clients that only hold a connection. Handed over, its successor serves already.
+  // The replacement of this process, and other routers that are stopped one after another, wait until it
+  // exits, so it does not wait for idle connections. After a handover the newer process already serves.
   const bool handed_over = serving_state_.state() == ServingState::State::kHandedOver;
   return !handed_over && !listener_.HasUnfinishedClients(kIncompleteMessageGrace);
 }
 
-// Armed anew only once it has expired: moving it would complete its wait, and that would begin an iteration
-// of its own, so that the loop would never rest until the process ends.
+// Sets the timer again only after it has expired. Moving a pending timer would complete its wait, which
+// starts another iteration, so the event loop would spin until the process exits.
 void GracefulShutdown::ArmTimer() {
   if (timer_armed_) return;
   timer_armed_ = true;
--- a/src/server/graceful_shutdown.hpp
+++ b/src/server/graceful_shutdown.hpp
@@ -1,5 +1,5 @@
-// A graceful shutdown: the process answers what it has taken, goes on accepting until clients have heard that
-// it stops, and ends before it would be killed.
+// Graceful shutdown: the process responds to all requests it has accepted, continues to accept clients until
+// the drain window has elapsed, and exits before it would be killed.
 #ifndef TULIPYOKE_SRC_SERVER_GRACEFUL_SHUTDOWN_HPP_
 #define TULIPYOKE_SRC_SERVER_GRACEFUL_SHUTDOWN_HPP_
 
@@ -14,15 +14,16 @@
 
 namespace tulipyoke::net {
 
-// Runs on the event loop, whose thread calls everything here. What it is given must outlive it.
+// Used only on the event loop thread. The constructor arguments passed by reference must outlive it.
 class GracefulShutdown {
  public:
   GracefulShutdown(asio::io_context& io, LoopClock& clock, const ShutdownPlan& plan, Dispatcher& dispatcher,
                    ServingState& serving_state, ClientListener& listener);
 
-  // Without effect once it has begun.
+  // Has no effect if the shutdown has already begun.
   void Begin();
-  // Called at the end of each iteration of the event loop: does what is due. True: the process may end now.
+  // Performs the steps that are due. Called at the end of each iteration of the event loop. Returns true if
+  // the process may exit now.
   bool Advance();
 
  private:
--- a/src/server/hot_restart_coordinator.cpp
+++ b/src/server/hot_restart_coordinator.cpp
@@ -13,17 +13,18 @@
 namespace tulipyoke::net {
 namespace {
 
-// The share of descriptors and memory that each of two processes of this router has.
+// The share of descriptors and memory of each process while two processes of this router run.
 constexpr double kHalfShare = 0.5;
-// Connections to servers that the older process keeps beyond one for each request.
+// Server connections that the older process keeps in addition to one per request in progress.
 constexpr std::size_t kSpareServerConnections = 16;
 constexpr auto kReduceQuotaInterval = std::chrono::milliseconds(50);
-// The older process sends its state within milliseconds; one that hangs is not waited for longer than this.
+// The older process normally sends its state within milliseconds. The timeout covers one that hangs.
 constexpr auto kSyncTimeout = std::chrono::milliseconds(1000);
 
 const char* NameOf(PeerProcess peer) { return peer == PeerProcess::kOlder ? "older" : "newer"; }
 
-// A process without a listening socket that is shared by all processes of the router cannot hand over.
+// Returns an empty path, which disables hot restart, if the listening socket is not shared by all processes
+// of the router: such a process cannot hand over its clients.
 std::string HotRestartDirectory(const Config& config) {
   return !config.accept_fd ? "" : config.shared_directory;
 }
@@ -56,7 +57,7 @@
 
 void HotRestartCoordinator::Start() {
   if (!hot_restart_.ConnectToOlder()) return StartServing();
-  LogInfo("takes_over", config_.name + " takes over from a running process", {{"name", config_.name}});
+  LogInfo("takes_over", config_.name + " is taking over from an older process", {{"name", config_.name}});
   SetQuota(kHalfShare);
   dispatcher_.SetReplicationEnabled(true);
   dispatcher_.SetSessionSync(clock_.Now(), {.complete = false});
@@ -82,7 +83,7 @@
   const std::string address = host + ":" + std::to_string(listener_.port());
   const std::size_t servers = config_.cached_listing.servers.size();
   LogInfo("serving",
-          config_.name + " serves on " + address + ", knows " + std::to_string(servers) + " servers",
+          config_.name + " is serving on " + address + " and knows " + std::to_string(servers) + " servers",
           {{"name", config_.name}, {"address", address}, {"servers", static_cast<std::int64_t>(servers)}});
 }
 
@@ -97,8 +98,8 @@
 }
 
 void HotRestartCoordinator::SyncWithNewer() {
-  LogInfo("newer_process", "a newer process has come: half of the room is left to it");
-  // The quota first: both processes together hold no more than one may.
+  LogInfo("newer_process", "a newer process has connected: limits are reduced to half while both run");
+  // The quota is reduced first, so that both processes together stay within the limits of one.
   SetQuota(kHalfShare);
   dispatcher_.SetReplicationEnabled(true);
   for (const ServerUpdate& server : dispatcher_.ServerSnapshot()) hot_restart_.SendToNewer(server);
@@ -107,8 +108,8 @@
 }
 
 void HotRestartCoordinator::HandOverToNewer() {
-  LogInfo("handed_over", "the newer process takes the clients: " + std::to_string(dispatcher_.in_progress()) +
-                             " requests are still out");
+  LogInfo("handed_over", "clients handed over to the newer process: " +
+                             std::to_string(dispatcher_.in_progress()) + " requests in progress");
   listener_.PauseAccepting();
   serving_state_.HandOver(clock_.Now());
   reported_descriptors_ = config_.max_sockets;
@@ -126,7 +127,7 @@
   quota_timer_.ExpireAfter(kReduceQuotaInterval, [this] { ReduceQuota(); });
 }
 
-// The older process needs less and less: this one has the rest.
+// The older process reports decreasing use, and this one may use the rest.
 void HotRestartCoordinator::OnDescriptorUsage(const DescriptorUsage& usage) {
   const double configured = config_.max_sockets;
   SetQuota(std::max(kHalfShare, (configured - usage.descriptors) / configured));
@@ -134,8 +135,8 @@
 
 void HotRestartCoordinator::OnDisconnected(PeerProcess peer, DisconnectReason reason) {
   const bool finished = reason == DisconnectReason::kFinished;
-  LogInfo("partner_left",
-          std::string("the ") + NameOf(peer) + " process " + (finished ? "has ended" : "broke off"));
+  LogInfo("partner_left", std::string("the ") + NameOf(peer) + " process " +
+                              (finished ? "has finished" : "disconnected before it finished"));
   if (hot_restart_.alone()) {
     SetQuota(kFullShare);
     dispatcher_.SetReplicationEnabled(false);
@@ -147,9 +148,9 @@
   if (serving_state_.ready()) listener_.StartAccepting();
 }
 
-// The lost process may have answered writes that this one was not told of. None of their sessions is known
-// until the last of these writes must have ended; after that, whatever session is not known here has been
-// lost.
+// The lost peer may have responded to writes that it did not replicate to this process. Session state counts
+// as incomplete until the last of these writes must have ended. After that, sessions that are not known here
+// are lost.
 void HotRestartCoordinator::InvalidateSessions() {
   dispatcher_.SetSessionSync(clock_.Now(), {.complete = false});
   session_sync_timer_.ExpireAfter(std::chrono::microseconds(LongestDeadline(config_.settings)), [this] {
--- a/src/server/hot_restart_coordinator.hpp
+++ b/src/server/hot_restart_coordinator.hpp
@@ -1,6 +1,5 @@
-// What this process does during a hot restart: it takes the clients over from an older process, or hands them
-// over to a newer one, shares the quota of descriptors and memory with it, and keeps the replicated state of
-// both the same.
+// Coordinates a hot restart in this process: takes clients over from an older process or hands them over to a
+// newer one, divides the quota of descriptors and memory with it, and replicates state between both.
 #ifndef TULIPYOKE_SRC_SERVER_HOT_RESTART_COORDINATOR_HPP_
 #define TULIPYOKE_SRC_SERVER_HOT_RESTART_COORDINATOR_HPP_
 
@@ -17,19 +16,20 @@
 
 namespace tulipyoke::net {
 
-// Runs on the event loop, whose thread calls everything here. What it is given must outlive it.
+// Used only on the event loop thread. The constructor arguments must outlive it.
 class HotRestartCoordinator {
  public:
   HotRestartCoordinator(asio::io_context& io, LoopClock& clock, const Config& config, Dispatcher& dispatcher,
                         ServingState& serving_state, UpstreamPool& pool, ClientListener& listener);
 
-  // Serves at once where there is no older process, else when that one has sent its state.
+  // Starts serving at once if there is no older process, else once the older one has sent its state, has
+  // disconnected, or has not sent it in time.
   void Start();
-  // Handles what the other processes have sent by now.
+  // Handles the messages that have arrived from the peer processes.
   void ReceivePending() { hot_restart_.ReceivePending(); }
-  // To all other processes of this router.
+  // Sends the message to all peer processes.
   void Broadcast(const HotRestartMessage& message) { hot_restart_.Broadcast(message); }
-  // Tells the other processes that this one ends.
+  // Tells the peer processes that this one is finished, and disconnects from them.
   void Stop() { hot_restart_.Stop(); }
 
  private:
@@ -39,13 +39,13 @@
   void OnDisconnected(PeerProcess peer, DisconnectReason reason);
   void SyncWithNewer();
   void HandOverToNewer();
-  // Takes clients from now on; the older process, if there is one, is told to take no more.
+  // Starts accepting clients and tells the older process, if there is one, to stop accepting them.
   void StartServing();
   void StartSyncTimeout();
-  // Sessions whose writes were not replicated are treated as unknown until all such writes are over.
+  // Treats sessions as not synchronized until writes that the lost peer did not replicate must have ended.
   void InvalidateSessions();
   void SetQuota(double share);
-  // Gives up what is not needed any more now that a newer process takes the clients; repeats itself.
+  // Releases resources that are no longer needed after the handover. Runs again periodically.
   void ReduceQuota();
 
   LoopClock& clock_;
--- a/src/server/resource_quota.cpp
+++ b/src/server/resource_quota.cpp
@@ -7,23 +7,25 @@
 namespace tulipyoke::net {
 namespace {
 
-// Of the descriptors that are not the process's own: the share of clients' connections.
+// The share of client connections in the descriptors that remain after kReservedDescriptors.
 constexpr double kClientDescriptorShare = 0.55;
-// Of all descriptors: the share of clients with an open request. Clients may hold a third of the descriptors
-// for requests; the rest of that third is for requests that come meanwhile.
+// The limit of open requests as a share of all descriptors. Clients may hold a third of the descriptors for
+// requests. The rest of that third is for requests that arrive in the meantime.
 constexpr double kOpenRequestShare = 0.2;
-// One connection may have one part in so many of the open requests: many clients can send requests side by
-// side.
+// One connection may have at most the limit of open requests divided by this, so that many clients can send
+// requests concurrently.
 constexpr std::size_t kPipelineDivisor = 8;
-// Of all descriptors: the share from which on idle clients are closed for new ones, well below that third.
+// The number of clients from which idle ones are evicted for new ones, as a share of all descriptors. It is
+// well below the third that clients may hold.
 constexpr double kEvictionThresholdShare = 0.25;
-// One part in so many of the memory is for clients' unread bytes, and as much again for their statements in
-// flight.
+// The memory divided by this is the limit for the unread bytes of all clients, and again for their statements
+// in flight.
 constexpr std::size_t kBufferDivisor = 8;
-// Of the memory: the share of large statements.
+// The share of the memory for large statements.
 constexpr double kLargeStatementShare = 0.375;
 
-// The descriptors that this process can open, `configured` at the most.
+// Raises the soft limit on descriptors to `configured` if possible. Returns how many this process can open,
+// at most `configured`.
 int RaiseDescriptorLimit(int configured) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return configured;
@@ -39,7 +41,7 @@
 
 ResourceQuota QuotaFor(const Config& config, double share) {
   const int descriptors = static_cast<int>(share * RaiseDescriptorLimit(config.max_sockets));
-  // Where the limit is very low, half of it is left for connections all the same.
+  // If the limit is very low, half of it is still used for connections.
   const auto connections = static_cast<double>(std::max(descriptors - kReservedDescriptors, descriptors / 2));
   const auto memory_bytes = static_cast<std::size_t>(share * static_cast<double>(config.memory_bytes));
   const auto open_requests = static_cast<std::size_t>(kOpenRequestShare * share * config.max_sockets);
--- a/src/server/resource_quota.hpp
+++ b/src/server/resource_quota.hpp
@@ -1,4 +1,4 @@
-// What a process of the router may use of descriptors and memory, and how clients and servers share it.
+// The quota of descriptors and memory of one process, and its division between clients and servers.
 #ifndef TULIPYOKE_SRC_SERVER_RESOURCE_QUOTA_HPP_
 #define TULIPYOKE_SRC_SERVER_RESOURCE_QUOTA_HPP_
 
@@ -9,11 +9,11 @@
 
 namespace tulipyoke::net {
 
-// Descriptors that are neither a client's nor a server's: standard streams, the event loop's own, the
-// listening socket, discovery, and clients that are being rejected because all places are taken.
+// Descriptors that are not used for clients or servers: standard streams, the event loop, the listening
+// socket, discovery, and clients that are being rejected because the client limit is reached.
 inline constexpr int kReservedDescriptors = 48;
 
-// The share of the configured limits of a process that is the only one of its router.
+// The share of the configured limits while only one process of the router runs.
 inline constexpr double kFullShare = 1;
 
 struct ResourceQuota {
@@ -21,8 +21,8 @@
   std::size_t server_connections = 0;
 };
 
-// The quota of a process that has `share` (0 to 1) of the configured limits. Raises the process's own limit
-// of descriptors, as far as that may be, and keeps within it.
+// Returns the quota of a process that may use `share` (0 to 1) of the configured limits. Raises the soft
+// limit on open descriptors if necessary and permitted, and stays within it.
 ResourceQuota QuotaFor(const Config& config, double share);
 
 }  // namespace tulipyoke::net
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -16,11 +16,11 @@
 namespace tulipyoke::net {
 namespace {
 
-// Handlers that one iteration runs at the most, so that timers and commands do not wait for a busy socket.
+// Upper limit of handlers per iteration, so that a busy socket does not delay the dispatcher's timers.
 constexpr int kMaxHandlersPerIteration = 64;
-// Replication positions are counted from the configured origin, a time of Unix. One that is not within this
-// long before the start was taken from another clock and says nothing of Unix time: they are counted from
-// shortly before the start instead.
+// Replication positions are relative to the configured origin, in Unix time. An origin in the future or older
+// than kMaxOriginAge at startup was read from a different clock. It is replaced by a time kFallbackOriginAge
+// before startup.
 constexpr Micros kMaxOriginAge = 86'400'000'000;
 constexpr Micros kFallbackOriginAge = 600'000'000;
 
@@ -43,7 +43,7 @@
           config.accept_fd.value_or(-1), std::move(before_request)};
 }
 
-// Empty where the registry is not a source of this router.
+// Returns an empty address if the registry is not a source of this router.
 std::string RegistryAddress(const Config& config) {
   const bool watched = !config.membership.enabled() || config.membership.RegistryIndex();
   return watched ? config.discovery_address : "";
@@ -148,14 +148,15 @@
   }
 }
 
-// Of a new configuration only the address of the registry is used: all else is built into what runs.
+// Applies only the registry address of the new configuration. All other settings are read at startup only.
 void Server::Reload() {
   try {
     const std::string address = ReloadConfig().discovery_address;
     registry_watch_.Redirect(address);
-    LogInfo("configuration_read", "configuration read anew: discovery is at " + address);
+    LogInfo("configuration_read", "configuration reloaded: the registry is at " + address);
   } catch (const std::exception& error) {
-    LogWarning("configuration_refused", "the new configuration is not used: " + std::string(error.what()));
+    LogWarning("configuration_refused",
+               "configuration reload failed, keeping the previous one: " + std::string(error.what()));
   }
 }
 
--- a/src/server/server.hpp
+++ b/src/server/server.hpp
@@ -1,5 +1,5 @@
-// One router: the event loop, everything that runs on it, and how the process starts, reloads its
-// configuration and stops.
+// A complete router: owns the event loop and all components that run on it, starts them, reloads the
+// configuration and shuts down.
 #ifndef TULIPYOKE_SRC_SERVER_SERVER_HPP_
 #define TULIPYOKE_SRC_SERVER_SERVER_HPP_
 
@@ -24,20 +24,20 @@
 
 namespace tulipyoke::net {
 
-// SIGTERM and SIGINT stop it, SIGHUP reloads the configuration, SIGUSR1 logs the counters.
+// SIGTERM and SIGINT start a graceful shutdown, SIGHUP reloads the configuration, SIGUSR1 logs the counters.
 class Server {
  public:
-  // Listens, and connects to an older process of this router, if there is one. Throws std::exception where it
-  // cannot start.
+  // Starts listening and connects to an older process of this router, if there is one. Throws an exception
+  // derived from std::exception if the router cannot start.
   explicit Server(const Config& config);
 
   // Runs the event loop on the calling thread until the shutdown has finished.
   void Run();
 
-  // Of the clients' and the admin server's listening sockets; 0 where there is no admin server.
+  // The ports of the client listener and of the admin server. admin_port() is 0 if there is no admin server.
   std::uint16_t port() const { return listener_.port(); }
   std::uint16_t admin_port() const { return admin_server_ ? admin_server_->port() : 0; }
-  // Of the event loop; it sleeps between two of them where nothing is to be done.
+  // The number of event loop iterations. The loop sleeps between iterations while there is no work.
   std::uint64_t iterations() const { return iterations_; }
 
  private:
@@ -53,15 +53,15 @@
 
   const Config config_;
   asio::io_context io_{1};
-  // Before all that takes time: a signal that comes while the rest is constructed is handled afterwards.
+  // Declared before the components that take time to construct: a signal that arrives meanwhile is handled
+  // once they are constructed.
   asio::signal_set signals_;
   LoopClock clock_;
   Dispatcher dispatcher_;
   ServingState serving_state_;
   UpstreamPool pool_;
   ClientListener listener_;
-  std::unique_ptr<discovery::DnsSdDiscovery>
-      dns_sd_discovery_;  // null: the registry is the only source of servers
+  std::unique_ptr<discovery::DnsSdDiscovery> dns_sd_discovery_;  // null if the registry is the only source
   discovery::RegistryWatch registry_watch_;
   AdminRequestHandler admin_request_handler_;
   std::optional<AdminServer> admin_server_;
--- a/src/server/shutdown_plan.cpp
+++ b/src/server/shutdown_plan.cpp
@@ -5,11 +5,11 @@
 namespace tulipyoke::net {
 namespace {
 
-// The process is killed at the earliest this long after SIGTERM and the longest deadline.
+// After SIGTERM, the process is killed no earlier than the longest request deadline plus this delay.
 constexpr Micros kMinKillDelay = 700'000;
-// A longer deadline counts as this one.
+// Longer request deadlines are treated as this one.
 constexpr Micros kMaxCountedDeadline = 3'000'000;
-// How long before the kill all is answered, and the process exits.
+// How long before the kill every request has its response, and the process exits.
 constexpr Micros kResponseMargin = 300'000;
 constexpr Micros kExitMargin = 150'000;
 
--- a/src/server/shutdown_plan.hpp
+++ b/src/server/shutdown_plan.hpp
@@ -1,4 +1,4 @@
-// The times of a graceful shutdown.
+// Computes the deadlines of a graceful shutdown.
 #ifndef TULIPYOKE_SRC_SERVER_SHUTDOWN_PLAN_HPP_
 #define TULIPYOKE_SRC_SERVER_SHUTDOWN_PLAN_HPP_
 
@@ -6,16 +6,16 @@
 
 namespace tulipyoke::net {
 
-// Counted from the signal that asks for the shutdown.
+// Both deadlines are relative to the signal that starts the shutdown.
 struct ShutdownPlan {
-  Micros response_deadline = 0;  // each request has its answer
-  Micros exit_deadline = 0;      // the process ends, whatever is still open
+  Micros response_deadline = 0;  // every request has its final response
+  Micros exit_deadline = 0;      // the process exits, even with open connections
 };
 
-// Leaves time for the longest deadline, within the time after which the process is killed.
+// Allows as much time as possible for the longest request deadline, but ends before the process is killed.
 ShutdownPlan PlanShutdown(const Settings& settings);
 
-// Of all classes of requests.
+// Returns the longest deadline of all request classes.
 Micros LongestDeadline(const Settings& settings);
 
 }  // namespace tulipyoke::net
--- a/tests/start_program.sh
+++ b/tests/start_program.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Starts the program as the deploy file does, with a configuration of its own, and stops it in order.
+# Starts the program as the deploy file does, with its own configuration, and shuts it down gracefully.
 set -euo pipefail
 program=$1
 folder=$(mktemp -d)
@@ -11,9 +11,9 @@
   exit 1
 }
 
-# Without a configuration it says so in one line and ends with a non-zero status.
-if env -u LB_CONFIG "$program" 2>"$folder/log"; then fail "it starts without a configuration"; fi
-[ "$(wc -l <"$folder/log")" -eq 1 ] || fail "not one line about the missing configuration"
+# Without a configuration, the program logs one line about it and exits with a non-zero status.
+if env -u LB_CONFIG "$program" 2>"$folder/log"; then fail "the program starts without a configuration"; fi
+[ "$(wc -l <"$folder/log")" -eq 1 ] || fail "expected exactly one log line about the missing configuration"
 
 cat >"$folder/config.json" <<'JSON'
 {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
@@ -24,19 +24,19 @@
 LB_CONFIG="$folder/config.json" "$program" 2>"$folder/log" &
 pid=$!
 for _ in $(seq 1 300); do
-  grep -q "serves on" "$folder/log" && break
+  grep -q "is serving on" "$folder/log" && break
   sleep 0.1
 done
-grep -q "serves on" "$folder/log" || { kill -9 "$pid"; fail "it does not start"; }
-# Guards against a SIGHUP that ends the program.
+grep -q "is serving on" "$folder/log" || { kill -9 "$pid"; fail "the program does not start serving"; }
+# SIGHUP must reload the configuration and not terminate the program.
 kill -HUP "$pid"
-moved="read anew: discovery is at 127.0.0.1:1"
+reloaded="reloaded: the registry is at 127.0.0.1:1"
 for _ in $(seq 1 300); do
-  grep -q "$moved" "$folder/log" && break
+  grep -q "$reloaded" "$folder/log" && break
   sleep 0.1
 done
-grep -q "$moved" "$folder/log" || { kill -9 "$pid"; fail "SIGHUP moves nothing"; }
+grep -q "$reloaded" "$folder/log" || { kill -9 "$pid"; fail "SIGHUP does not reload the configuration"; }
 kill -TERM "$pid"
-wait "$pid" || fail "it does not end in order"
-grep -q "requests: taken=0" "$folder/log" || fail "no counters at its end"
-echo "the program starts and stops"
+wait "$pid" || fail "the program does not exit with status 0 after SIGTERM"
+grep -q "requests: taken=0" "$folder/log" || fail "the counters are not logged at exit"
+echo "the program starts, reloads and stops as expected"
