--- a/src/server/graceful_shutdown.hpp
+++ b/src/server/graceful_shutdown.hpp
@@ -14,7 +14,7 @@
 
 namespace tulipyoke::net {
 
-// Used only on the event loop thread. The constructor arguments passed by reference must outlive it.
+// Used only on the event loop thread. The components passed to it must outlive it.
 class GracefulShutdown {
  public:
   GracefulShutdown(asio::io_context& io, LoopClock& clock, const ShutdownPlan& plan, Dispatcher& dispatcher,
--- a/tests/server/counters_log_test.cpp
+++ b/tests/server/counters_log_test.cpp
@@ -1,5 +1,5 @@
-// The counters that the process logs on SIGUSR1 and at its end: operators read them by name, so the names and
-// their order are compared with recorded lines.
+// Tests the counters that the process logs on SIGUSR1 and at exit. Operators rely on the names, so the names
+// and their order are compared with recorded lines.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -15,8 +15,8 @@
 namespace tulipyoke::net {
 namespace {
 
-// Each number is replaced by `#`.
-constexpr const char* kRecorded =
+// The expected lines, with each number replaced by `#`.
+constexpr const char* kRecordedLines =
     "tulipyoke: figures: passed.any=# dropped.any=# bad_gateway.any=# upstream_tries=# in_progress=# "
     "known_readings_servers=# skipped_readings_servers=# \n"
     "tulipyoke: requests: taken=# served=# refused=# failed=# overdue=# left=# attempts=# attempt_ok=# "
@@ -33,9 +33,10 @@
     "bad_records=# over=# transfers=# queries=# streams=# timeouts=# switched=#\n"
     "tulipyoke: discovery: connects=# lost=# bad_lines=#\n";
 
-std::size_t CountOf(const std::string& part, const std::string& text) {
+std::size_t CountOccurrences(const std::string& part, const std::string& text) {
   std::size_t count = 0;
-  for (std::size_t at = text.find(part); at != std::string::npos; at = text.find(part, at + part.size())) {
+  for (std::size_t position = text.find(part); position != std::string::npos;
+       position = text.find(part, position + part.size())) {
     ++count;
   }
   return count;
@@ -53,7 +54,7 @@
   }
   const std::string log =
       std::regex_replace(testing::internal::GetCapturedStderr(), std::regex("[0-9]+"), "#");
-  EXPECT_EQ(CountOf(kRecorded, log), 2u) << log;
+  EXPECT_EQ(CountOccurrences(kRecordedLines, log), 2u) << log;
 }
 
 }  // namespace
--- a/tests/server/graceful_shutdown_test.cpp
+++ b/tests/server/graceful_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// A graceful shutdown, and what may arrive together with it: each request has its answer.
+// Tests graceful shutdown, also with requests that arrive at the same time: every request gets a response.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
@@ -18,45 +18,46 @@
 namespace tulipyoke::net {
 namespace {
 
-// Deadlines for a short shutdown: all is answered by 0.7 s, and the process would be killed at 1 s.
-void Soon(Config& config) { config.settings.classes[0].deadline = 300'000; }
+// Shortens the shutdown: all responses are due after 0.7 s, and the process would be killed after 1 s.
+void UseShortDeadlines(Config& config) { config.settings.classes[0].deadline = 300'000; }
 
-// A server that accepts everything and answers nothing until the test is over.
+// Provides a server that accepts all connections and sends no response until the test ends.
 class ShutdownWithHangingServer : public testing::Test {
  protected:
   ShutdownWithHangingServer()
       : server_([this](const std::string&) {
-          const std::lock_guard wait(gate_);
+          const std::lock_guard guard(response_gate_);
           return Row("v");
         }) {
-    gate_.lock();
+    response_gate_.lock();
   }
-  ~ShutdownWithHangingServer() override { gate_.unlock(); }
+  ~ShutdownWithHangingServer() override { response_gate_.unlock(); }
 
-  std::mutex gate_;
+  std::mutex response_gate_;
   ScriptedServer server_;
 };
 
-// Each request has its answer before the process is killed, although its server hangs, its client would wait
-// for longer, and other signals come in between. So has a request sent later on the same connection.
-TEST_F(ShutdownWithHangingServer, AnswersHangingAndLateRequests) {
-  RunningServer router({server_.port()}, 256, 1, Soon);
-  Peer busy = router.Session(), idle = router.Session();
-  busy.Write(Ask("1"));
+// Every request, also one sent later on the same connection, gets a response before the process is killed,
+// even if the server hangs, the client would wait longer, and other signals arrive in between.
+TEST_F(ShutdownWithHangingServer, RespondsToHangingAndLateRequests) {
+  RunningServer router({server_.port()}, 256, 1, UseShortDeadlines);
+  Peer busy_client = router.Session(), idle_client = router.Session();
+  busy_client.Write(Ask("1"));
   while (server_.queries().empty()) std::this_thread::yield();
   kill(getpid(), SIGTERM);
   kill(getpid(), SIGTERM);
   kill(getpid(), SIGHUP);
-  EXPECT_EQ(idle.Next().first, '\0');  // closed once the drain window is over
-  busy.Write(Ask("2") + Ask("3"));
-  for (int i = 0; i < 3; ++i) EXPECT_NE(CodeOf(busy.UntilReady()), "") << i;
-  EXPECT_EQ(busy.Next().first, '\0');
+  EXPECT_EQ(idle_client.Next().first, '\0');  // closed once the drain window is over
+  busy_client.Write(Ask("2") + Ask("3"));
+  for (int i = 0; i < 3; ++i) EXPECT_NE(CodeOf(busy_client.UntilReady()), "") << i;
+  EXPECT_EQ(busy_client.Next().first, '\0');
 }
 
-// So has a request that is read in the same iteration as the signal, or was sent just before or after it.
-TEST_F(ShutdownWithHangingServer, AnswersRequestsThatArriveWithTheSignal) {
+// A request that is read in the same iteration as the signal, or sent just before or after it, gets a
+// response.
+TEST_F(ShutdownWithHangingServer, RespondsToRequestsThatArriveWithTheSignal) {
   for (int round = 0; round < 3; ++round) {
-    RunningServer router({1}, 256, 1, Soon);
+    RunningServer router({1}, 256, 1, UseShortDeadlines);
     std::vector<Peer> clients;
     for (int i = 0; i < 12; ++i) clients.push_back(router.Session());
     for (std::size_t i = 0; i < clients.size(); ++i) {
@@ -67,69 +68,71 @@
   }
 }
 
-// The rest of an incomplete statement would arrive after the process has ended.
-TEST_F(ShutdownWithHangingServer, RejectsIncompleteStatementsBeforeTheEnd) {
-  RunningServer router({server_.port()}, 256, 1, Soon);
-  Peer half = router.Session(), idle = router.Session();
-  half.Write(Ask("1").substr(0, 40));
+// An incomplete statement is rejected, because its rest would arrive after the process has exited.
+TEST_F(ShutdownWithHangingServer, RejectsIncompleteStatementsBeforeTheExit) {
+  RunningServer router({server_.port()}, 256, 1, UseShortDeadlines);
+  Peer incomplete_client = router.Session(), idle_client = router.Session();
+  incomplete_client.Write(Ask("1").substr(0, 40));
   kill(getpid(), SIGTERM);
-  EXPECT_EQ(idle.Next().first, '\0');
-  EXPECT_EQ(CodeOf(half.UntilReady()), "57P03");
-  EXPECT_EQ(half.Next().first, '\0');
+  EXPECT_EQ(idle_client.Next().first, '\0');
+  EXPECT_EQ(CodeOf(incomplete_client.UntilReady()), "57P03");
+  EXPECT_EQ(incomplete_client.Next().first, '\0');
 }
 
-// The client sends the request again elsewhere: forwarding it as well would execute it twice.
-TEST_F(ShutdownWithHangingServer, DoesNotForwardARequestThatCrossesTheClose) {
+// The client retries such a request elsewhere, so forwarding it as well would execute it twice.
+TEST_F(ShutdownWithHangingServer, DoesNotForwardARequestSentDuringTheClose) {
   RunningServer router({server_.port()}, 256, 1, [](Config& config) {
-    Soon(config);
-    config.settings.classes[0].latency_objective = 400'000;  // else there is no time to send it by the end
+    UseShortDeadlines(config);
+    config.settings.classes[0].latency_objective =
+        400'000;  // otherwise no time is left to forward it before the exit
   });
-  Peer idle = router.Session();
+  Peer idle_client = router.Session();
   kill(getpid(), SIGTERM);
-  EXPECT_EQ(idle.Next().first, '\0');
-  idle.Write(Ask("1"));
+  EXPECT_EQ(idle_client.Next().first, '\0');
+  idle_client.Write(Ask("1"));
   router.Stop();
   EXPECT_TRUE(server_.queries().empty());
 }
 
-// A shutdown does not wait for the first list of servers, and does not lose requests that came before it.
-TEST_F(ShutdownWithHangingServer, RejectsRequestsBeforeTheFirstList) {
-  RunningServer router({}, 256, 1, Soon);
-  Peer before = router.Session(), behind = router.Session();
-  before.Write(Ask("1"));
-  EXPECT_EQ(CodeOf(before.UntilReady()), "53300");
+// A shutdown does not wait for the first endpoint list and does not lose requests that arrived before it.
+TEST_F(ShutdownWithHangingServer, RejectsRequestsBeforeTheFirstEndpointList) {
+  RunningServer router({}, 256, 1, UseShortDeadlines);
+  Peer client_before_signal = router.Session(), client_after_signal = router.Session();
+  client_before_signal.Write(Ask("1"));
+  EXPECT_EQ(CodeOf(client_before_signal.UntilReady()), "53300");
   kill(getpid(), SIGTERM);
-  behind.Write(Ask("2"));
-  EXPECT_NE(CodeOf(behind.UntilReady()), "");
-  EXPECT_EQ(behind.Next().first, '\0');
+  client_after_signal.Write(Ask("2"));
+  EXPECT_NE(CodeOf(client_after_signal.UntilReady()), "");
+  EXPECT_EQ(client_after_signal.Next().first, '\0');
 }
 
-// A client that reads slowly gets its answer completely, as long as there is time for it.
-TEST(GracefulShutdown, CompletesPartlyWrittenAnswers) {
+// A client that reads slowly receives complete responses, as long as time is left.
+TEST(GracefulShutdown, CompletesPartlyWrittenResponses) {
   ScriptedServer server([](const std::string&) { return Row(std::string(60'000, 'v')); });
   RunningServer router({server.port()});
-  Peer slow = router.Session(), idle = router.Session();
-  const int small = 32768;
-  setsockopt(slow.socket().native_handle(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
-  std::string asked;
-  for (int i = 0; i < 30; ++i) asked += Ask(std::to_string(i));
-  slow.Write(asked);
+  Peer slow_client = router.Session(), idle_client = router.Session();
+  const int receive_buffer_bytes = 32768;
+  setsockopt(slow_client.socket().native_handle(), SOL_SOCKET, SO_RCVBUF, &receive_buffer_bytes,
+             sizeof receive_buffer_bytes);
+  std::string queries_to_send;
+  for (int i = 0; i < 30; ++i) queries_to_send += Ask(std::to_string(i));
+  slow_client.Write(queries_to_send);
   while (server.queries().size() < 10) std::this_thread::yield();
   kill(getpid(), SIGTERM);
-  EXPECT_EQ(idle.Next().first, '\0');
+  EXPECT_EQ(idle_client.Next().first, '\0');
   for (int i = 0; i < 30; ++i) {
-    const Messages m = slow.UntilReady();
-    ASSERT_TRUE(m.size() == 4 || !CodeOf(m).empty()) << i;
+    const Messages messages = slow_client.UntilReady();
+    ASSERT_TRUE(messages.size() == 4 || !CodeOf(messages).empty()) << i;
   }
 }
 
-// Clients in the kernel's queue when the listening socket closes have connected, and may have sent requests.
-TEST(ListenerBacklog, AcceptsWhatIsInTheBacklog) {
+// Clients in the backlog when the listening socket closes are connected and may have sent requests.
+TEST(ListenerBacklog, AcceptsConnectionsInTheBacklog) {
   asio::io_context io;
   LoopClock clock;
   Dispatcher dispatcher({Settings{}, 1, {}, {}, 1'000'000});
-  const ServingState service;
-  ClientListener listener(io, clock, dispatcher, service, {Loopback(0), {100, 100, 100, 1 << 20}});
+  const ServingState serving_state;
+  ClientListener listener(io, clock, dispatcher, serving_state, {Loopback(0), {100, 100, 100, 1 << 20}});
   std::vector<tcp::socket> clients;
   for (int i = 0; i < 20; ++i) clients.emplace_back(io).connect(Loopback(listener.port()));
   listener.StopAccepting();
@@ -137,47 +140,47 @@
   listener.Stop();
 }
 
-// Requests that were accepted before a shutdown are answered.
+// Requests that were accepted before a shutdown get their response.
 TEST(GracefulShutdown, FinishesAcceptedRequests) {
-  std::mutex gate;
-  gate.lock();
+  std::mutex response_gate;
+  response_gate.lock();
   ScriptedServer server([&](const std::string&) {
-    const std::lock_guard wait(gate);
+    const std::lock_guard guard(response_gate);
     return Row("late");
   });
   RunningServer router({server.port()});
-  Peer busy = router.Session();
-  Peer idle = router.Session();
-  busy.Write(Ask("1"));
+  Peer busy_client = router.Session();
+  Peer idle_client = router.Session();
+  busy_client.Write(Ask("1"));
   while (server.queries().empty()) std::this_thread::yield();
   kill(getpid(), SIGTERM);
-  EXPECT_EQ(idle.Next().first, '\0');  // closed once the drain window is over
-  gate.unlock();
-  EXPECT_EQ(busy.UntilReady()[0].first, 'T');
-  EXPECT_EQ(busy.Next().first, '\0');
+  EXPECT_EQ(idle_client.Next().first, '\0');  // closed once the drain window is over
+  response_gate.unlock();
+  EXPECT_EQ(busy_client.UntilReady()[0].first, 'T');
+  EXPECT_EQ(busy_client.Next().first, '\0');
 }
 
-// A shutdown that waited for clients that only hold a connection would keep its successor waiting.
+// Waiting for idle connections would delay the replacement of this process.
 TEST(GracefulShutdown, DoesNotWaitForIdleConnections) {
   ScriptedServer server([](const std::string&) { return Row("v"); });
   RunningServer router({server.port()});
-  std::vector<Peer> holding;
+  std::vector<Peer> idle_clients;
   for (int i = 0; i < 8; ++i) {
-    holding.push_back(router.Session());
-    holding.back().Write(Ask(std::to_string(i)));
-    EXPECT_EQ(holding.back().UntilReady()[0].first, 'T');
+    idle_clients.push_back(router.Session());
+    idle_clients.back().Write(Ask(std::to_string(i)));
+    EXPECT_EQ(idle_clients.back().UntilReady()[0].first, 'T');
   }
-  Peer half = router.Session();
-  half.Write(Ask("x").substr(0, 30));
+  Peer incomplete_client = router.Session();
+  incomplete_client.Write(Ask("x").substr(0, 30));
   const auto begin = std::chrono::steady_clock::now();
   router.Stop();  // the longest deadline is 20 s, and no client closes its connection
   EXPECT_LT(std::chrono::steady_clock::now() - begin, std::chrono::milliseconds(3300));
-  // The loop sleeps meanwhile: spinning would take the core that pending answers need.
+  // The event loop sleeps while it waits. Spinning would take the CPU time that pending responses need.
   EXPECT_LT(router.iterations(), 2000u);
 }
 
-// The process would be killed with requests unanswered if it waited for deadlines over 3 s.
-TEST(ShutdownPlan, AnswersAllRequestsBeforeTheKill) {
+// If the process waited for deadlines over 3 s, it would be killed with requests that have no response.
+TEST(ShutdownPlan, RespondsToAllRequestsBeforeTheKill) {
   Settings settings;
   settings.classes.resize(2);
   settings.classes[0].deadline = 1'200'000;
--- a/tests/server/hot_restart_coordinator_test.cpp
+++ b/tests/server/hot_restart_coordinator_test.cpp
@@ -1,4 +1,4 @@
-// Hot restart of a complete router: beside a second router, or beside a bare socket in the place of the peer.
+// Tests hot restart of a complete router with a second router, or with a plain socket that acts as the peer.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -18,29 +18,29 @@
 namespace tulipyoke::net {
 namespace {
 
-// During a hot restart no client is rejected, and exactly one process accepts clients.
-TEST(HotRestart, NewerProcessTakesTheClientsAndOlderOneDrains) {
-  std::mutex gate;
-  gate.lock();
+// During a hot restart, no client is rejected, and exactly one process accepts clients.
+TEST(HotRestart, NewerProcessAcceptsClientsAndOlderOneDrains) {
+  std::mutex response_gate;
+  response_gate.lock();
   ScriptedServer server([&](const std::string& query) {
-    if (query.find("id=slow") != std::string::npos) const std::lock_guard wait(gate);
+    if (query.find("id=slow") != std::string::npos) const std::lock_guard guard(response_gate);
     return Row("v");
   });
   asio::io_context io;
-  tcp::acceptor shared_listener(io, Loopback(0));  // as the platform holds it
-  const std::string folder = testing::TempDir() + "tulipyoke_hot_restart_pair";
-  std::filesystem::create_directories(folder);
-  const auto beside = [&](Config& config) {
+  tcp::acceptor shared_listener(io, Loopback(0));  // held open by the platform in production
+  const std::string directory = testing::TempDir() + "tulipyoke_hot_restart_pair";
+  std::filesystem::create_directories(directory);
+  const auto share_listener = [&](Config& config) {
     config.accept_fd = ::dup(shared_listener.native_handle());
-    config.shared_directory = folder;
+    config.shared_directory = directory;
   };
-  RunningServer older({server.port()}, 256, 1, beside);
+  RunningServer older({server.port()}, 256, 1, share_listener);
   EXPECT_TRUE(older.Call("GET", "/control/ready").starts_with("HTTP/1.1 200 "));
-  Peer busy = older.Session();
-  Peer kept = older.Session();
-  busy.Write(Ask("slow"));
+  Peer busy_client = older.Session();
+  Peer idle_client = older.Session();
+  busy_client.Write(Ask("slow"));
   while (server.queries().empty()) std::this_thread::yield();
-  RunningServer newer({server.port()}, 256, 1, beside);
+  RunningServer newer({server.port()}, 256, 1, share_listener);
   while (newer.Call("GET", "/control/ready").find(" 200 ") == std::string::npos) std::this_thread::yield();
   while (older.Call("GET", "/control/ready").find(" 503 ") == std::string::npos) std::this_thread::yield();
   for (int i = 0; i < 10; ++i) {
@@ -50,41 +50,41 @@
     EXPECT_EQ(client.UntilReady()[0].first, 'I');
   }
   EXPECT_NE(newer.Call("GET", "/control/counters").find("passed.any=10\n"), std::string::npos);
-  kept.Write(Query(""));  // the router takes clients, in another process
-  EXPECT_EQ(kept.UntilReady()[0].first, 'I');
-  EXPECT_EQ(kept.Next().first, '\0');
-  gate.unlock();
-  EXPECT_EQ(busy.UntilReady()[0].first, 'T');
-  EXPECT_EQ(busy.Next().first, '\0');
-  newer.Stop();  // the signal reaches both
+  idle_client.Write(Query(""));  // the router accepts clients, in its other process
+  EXPECT_EQ(idle_client.UntilReady()[0].first, 'I');
+  EXPECT_EQ(idle_client.Next().first, '\0');
+  response_gate.unlock();
+  EXPECT_EQ(busy_client.UntilReady()[0].first, 'T');
+  EXPECT_EQ(busy_client.Next().first, '\0');
+  newer.Stop();  // the signal reaches both routers
   older.Stop();
-  std::filesystem::remove_all(folder);
+  std::filesystem::remove_all(directory);
 }
 
-// A router beside a peer process that is a bare socket, which is closed at the step that the test chooses.
-class HotRestartBesideBarePeer : public testing::Test {
+// Runs a router whose peer process is a plain socket, which the test closes at a chosen step.
+class HotRestartWithSocketPeer : public testing::Test {
  protected:
-  using Local = asio::local::stream_protocol;
+  using LocalProtocol = asio::local::stream_protocol;
 
-  HotRestartBesideBarePeer()
+  HotRestartWithSocketPeer()
       : shared_listener_(io_, Loopback(0)), server_([](const std::string&) { return Row("v"); }) {
-    std::filesystem::create_directories(folder_);
+    std::filesystem::create_directories(directory_);
   }
-  ~HotRestartBesideBarePeer() override { std::filesystem::remove_all(folder_); }
-  std::unique_ptr<RunningServer> Start() {
+  ~HotRestartWithSocketPeer() override { std::filesystem::remove_all(directory_); }
+  std::unique_ptr<RunningServer> StartRouter() {
     return std::make_unique<RunningServer>(
         std::vector<std::uint16_t>{server_.port()}, 256, 1, [&](Config& config) {
           config.accept_fd = ::dup(shared_listener_.native_handle());
-          config.shared_directory = folder_;
-          config.settings.classes[0].deadline = 300'000;  // so that a shutdown is soon over
+          config.shared_directory = directory_;
+          config.settings.classes[0].deadline = 300'000;  // keeps the shutdown short
         });
   }
   static bool Ready(RunningServer& router) {
     return router.Call("GET", "/control/ready").find(" 200 ") != std::string::npos;
   }
-  static void AwaitReady(RunningServer& router, bool ready) {
-    const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    while (Ready(router) != ready && std::chrono::steady_clock::now() < end) std::this_thread::yield();
+  static void AwaitReadiness(RunningServer& router, bool ready) {
+    const auto give_up_at = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+    while (Ready(router) != ready && std::chrono::steady_clock::now() < give_up_at) std::this_thread::yield();
     EXPECT_EQ(Ready(router), ready);
   }
   static void ExpectServes(RunningServer& router) {
@@ -92,27 +92,27 @@
     client.Write(Ask("1"));
     EXPECT_EQ(client.UntilReady()[0].first, 'T');
   }
-  static void ReadUntil(Local::socket& peer, const std::string& line) {
+  static void ReadUntil(LocalProtocol::socket& peer, const std::string& line) {
     std::string received;
     while (received.find(line + "\n") == std::string::npos) {
       std::array<char, 256> bytes;
-      std::error_code ended;
-      received.append(bytes.data(), peer.read_some(asio::buffer(bytes), ended));
-      ASSERT_FALSE(ended) << received;
+      std::error_code error;
+      received.append(bytes.data(), peer.read_some(asio::buffer(bytes), error));
+      ASSERT_FALSE(error) << received;
     }
   }
-  // A newer process that has received all state.
-  Local::socket Newer() {
-    Local::socket newer(io_);
-    newer.connect(Local::endpoint(Path()));
+  // Returns the connection of a newer process that has received all state.
+  LocalProtocol::socket ConnectSyncedNewer() {
+    LocalProtocol::socket newer(io_);
+    newer.connect(LocalProtocol::endpoint(SocketPath()));
     asio::write(newer, asio::buffer(std::string("hello\n")));
     ReadUntil(newer, "synced");
     return newer;
   }
-  std::string Path() const { return folder_ + "/tulipyoke-n.sock"; }
+  std::string SocketPath() const { return directory_ + "/tulipyoke-n.sock"; }
 
  private:
-  const std::string folder_ = testing::TempDir() + "tulipyoke_beside_" + std::to_string(::getpid());
+  const std::string directory_ = testing::TempDir() + "tulipyoke_beside_" + std::to_string(::getpid());
 
  protected:
   asio::io_context io_;
@@ -122,48 +122,48 @@
   ScriptedServer server_;
 };
 
-// The newer process may be lost before it serves or after.
-TEST_F(HotRestartBesideBarePeer, OlderProcessTakesClientsBackFromALostNewerOne) {
-  const std::unique_ptr<RunningServer> older = Start();
-  Newer().close();
+// The newer process may be lost before or after it starts serving.
+TEST_F(HotRestartWithSocketPeer, OlderProcessAcceptsClientsAgainAfterTheNewerIsLost) {
+  const std::unique_ptr<RunningServer> older = StartRouter();
+  ConnectSyncedNewer().close();
   ExpectServes(*older);
   EXPECT_TRUE(Ready(*older));
   {
-    Local::socket newer = Newer();
-    Peer kept = older->Session();
+    LocalProtocol::socket newer = ConnectSyncedNewer();
+    Peer idle_client = older->Session();
     asio::write(newer, asio::buffer(std::string("serving\n")));
-    kept.Write(Ask("during"));  // whichever is read first
-    EXPECT_EQ(kept.UntilReady()[0].first, 'T');
-    AwaitReady(*older, false);
+    idle_client.Write(Ask("during"));  // the order in which the router reads the two does not matter
+    EXPECT_EQ(idle_client.UntilReady()[0].first, 'T');
+    AwaitReadiness(*older, false);
   }
-  AwaitReady(*older, true);
+  AwaitReadiness(*older, true);
   ExpectServes(*older);
 }
 
-// The older process is stopped after it has handed over: the rest of an incomplete statement would arrive
-// after its end.
-TEST_F(HotRestartBesideBarePeer, OlderProcessRejectsIncompleteStatementsBeforeItsEnd) {
-  const std::unique_ptr<RunningServer> older = Start();
-  Local::socket newer = Newer();
-  Peer half = older->Session();
-  half.Write(Ask("1").substr(0, 40));
+// If the older process is stopped after the handover, it rejects incomplete statements, because the rest
+// would arrive after its exit.
+TEST_F(HotRestartWithSocketPeer, OlderProcessRejectsIncompleteStatementsBeforeItsExit) {
+  const std::unique_ptr<RunningServer> older = StartRouter();
+  LocalProtocol::socket newer = ConnectSyncedNewer();
+  Peer incomplete_client = older->Session();
+  incomplete_client.Write(Ask("1").substr(0, 40));
   asio::write(newer, asio::buffer(std::string("serving\n")));
-  AwaitReady(*older, false);
+  AwaitReadiness(*older, false);
   kill(getpid(), SIGTERM);
-  EXPECT_EQ(CodeOf(half.UntilReady()), "57P03");
+  EXPECT_EQ(CodeOf(incomplete_client.UntilReady()), "57P03");
 }
 
-// A newer process serves neither before it has received all state from the older one, nor never because the
-// older one was lost while it sent its state.
-TEST_F(HotRestartBesideBarePeer, NewerProcessDoesNotWaitForALostOlderOne) {
-  Local::acceptor older(io_, Local::endpoint(Path()));
-  const std::unique_ptr<RunningServer> newer = Start();
-  Local::socket link = older.accept();
-  ReadUntil(link, "hello");
-  asio::write(link, asio::buffer(std::string("session 1 0 5\nsess")));
+// A newer process does not serve before it has received all state. If the older one is lost while it sends
+// its state, the newer one starts serving without the rest.
+TEST_F(HotRestartWithSocketPeer, NewerProcessServesAfterTheOlderIsLost) {
+  LocalProtocol::acceptor older(io_, LocalProtocol::endpoint(SocketPath()));
+  const std::unique_ptr<RunningServer> newer = StartRouter();
+  LocalProtocol::socket connection = older.accept();
+  ReadUntil(connection, "hello");
+  asio::write(connection, asio::buffer(std::string("session 1 0 5\nsess")));
   EXPECT_FALSE(Ready(*newer));
-  link.close();
-  AwaitReady(*newer, true);
+  connection.close();
+  AwaitReadiness(*newer, true);
   ExpectServes(*newer);
 }
 
--- a/tests/server/resource_quota_test.cpp
+++ b/tests/server/resource_quota_test.cpp
@@ -1,4 +1,4 @@
-// The quota of descriptors and memory, alone and beside another process of the same router.
+// Tests the quota of descriptors and memory of a single process and of two processes of the same router.
 #include "src/server/resource_quota.hpp"
 
 #include <gtest/gtest.h>
@@ -8,17 +8,17 @@
 namespace tulipyoke::net {
 namespace {
 
-Config ConfigOf(int sockets, std::size_t memory_bytes) {
+Config MakeConfig(int descriptors, std::size_t memory_bytes) {
   Config config;
-  config.max_sockets = sockets;
+  config.max_sockets = descriptors;
   config.memory_bytes = memory_bytes;
   return config;
 }
 
-constexpr std::size_t kMemory = std::size_t{64} << 20;
+constexpr std::size_t kMemoryBytes = std::size_t{64} << 20;
 
-TEST(ResourceQuota, OfAProcessThatIsAlone) {
-  const ResourceQuota quota = QuotaFor(ConfigOf(256, kMemory), kFullShare);
+TEST(ResourceQuota, SingleProcess) {
+  const ResourceQuota quota = QuotaFor(MakeConfig(256, kMemoryBytes), kFullShare);
   EXPECT_EQ(quota.clients.max_clients, 114u);
   EXPECT_EQ(quota.clients.max_open_requests, 51u);
   EXPECT_EQ(quota.clients.eviction_threshold, 64u);
@@ -27,8 +27,8 @@
   EXPECT_EQ(quota.server_connections, 94u);
 }
 
-TEST(ResourceQuota, OfEachOfTwoProcesses) {
-  const ResourceQuota quota = QuotaFor(ConfigOf(256, kMemory), 0.5);
+TEST(ResourceQuota, OneOfTwoProcesses) {
+  const ResourceQuota quota = QuotaFor(MakeConfig(256, kMemoryBytes), 0.5);
   EXPECT_EQ(quota.clients.max_clients, 44u);
   EXPECT_EQ(quota.clients.max_open_requests, 25u);
   EXPECT_EQ(quota.clients.eviction_threshold, 44u);
@@ -37,9 +37,10 @@
   EXPECT_EQ(quota.server_connections, 36u);
 }
 
-// With few descriptors, half of them are for connections, although the process itself may use more.
-TEST(ResourceQuota, OfAProcessWithFewDescriptors) {
-  const ResourceQuota quota = QuotaFor(ConfigOf(64, kMemory), kFullShare);
+// With few descriptors, half of them are used for connections, even though the process reserves more than
+// that for itself.
+TEST(ResourceQuota, SingleProcessWithFewDescriptors) {
+  const ResourceQuota quota = QuotaFor(MakeConfig(64, kMemoryBytes), kFullShare);
   EXPECT_EQ(quota.clients.max_clients, 17u);
   EXPECT_EQ(quota.clients.max_open_requests, 12u);
   EXPECT_EQ(quota.clients.eviction_threshold, 16u);
