--- a/src/server/counters_log.cpp
+++ b/src/server/counters_log.cpp
@@ -9,7 +9,7 @@
 namespace tulipyoke::net {
 namespace {
 
-// `title: name=value name=value`
+// Builds a line of the form `title: name=value name=value`.
 class CounterLine {
  public:
   explicit CounterLine(std::string_view title) : text_(std::string(title) + ":") {}
@@ -95,9 +95,9 @@
   LogInfo("zone", line.text());
 }
 
-void LogDirectory(const discovery::ServiceDiscovery& directory) {
-  LogMembership(directory.membership());
-  for (const discovery::ServiceDiscovery::ZoneStatus& zone : directory.ZoneStatuses()) LogZone(zone);
+void LogDnsSdDiscovery(const discovery::ServiceDiscovery& dns_sd_discovery) {
+  LogMembership(dns_sd_discovery.membership());
+  for (const discovery::ServiceDiscovery::ZoneStatus& zone : dns_sd_discovery.ZoneStatuses()) LogZone(zone);
 }
 
 void LogRegistryWatch(const discovery::RegistryWatch& registry_watch) {
@@ -117,7 +117,7 @@
   LogClients(sources.listener);
   LogServers(sources.pool);
   if (sources.admin_server) LogAdminServer(*sources.admin_server);
-  if (sources.directory) LogDirectory(*sources.directory);
+  if (sources.dns_sd_discovery) LogDnsSdDiscovery(*sources.dns_sd_discovery);
   LogRegistryWatch(sources.registry_watch);
 }
 
--- a/src/server/hot_restart_coordinator.cpp
+++ b/src/server/hot_restart_coordinator.cpp
@@ -13,18 +13,21 @@
 namespace tulipyoke::net {
 namespace {
 
-// The share of descriptors and memory that each of two processes of this router has.
-constexpr double kShareBesideAnother = 0.5;
-// Connections to servers that the older process keeps beyond one for each request.
+// The share of descriptors and memory of each process while two processes of this router run.
+constexpr double kHalfShare = 0.5;
+// Server connections that the older process keeps in addition to one per request in progress.
 constexpr std::size_t kSpareServerConnections = 16;
 constexpr auto kReduceQuotaInterval = std::chrono::milliseconds(50);
-// The older process sends its state within milliseconds; one that hangs is not waited for longer than this.
+// The older process normally sends its state within milliseconds. The timeout covers one that hangs.
 constexpr auto kSyncTimeout = std::chrono::milliseconds(1000);
 
 const char* NameOf(PeerProcess peer) { return peer == PeerProcess::kOlder ? "older" : "newer"; }
 
-// A process without a listening socket that is shared by all processes of the router cannot hand over.
-std::string FolderOf(const Config& config) { return !config.accept_fd ? "" : config.shared_directory; }
+// Returns an empty path, which disables hot restart, if the listening socket is not shared by all processes
+// of the router: such a process cannot hand over its clients.
+std::string HotRestartDirectory(const Config& config) {
+  return !config.accept_fd ? "" : config.shared_directory;
+}
 
 }  // namespace
 
@@ -37,12 +40,12 @@
       serving_state_(serving_state),
       pool_(pool),
       listener_(listener),
-      hot_restart_(io, FolderOf(config), config.name, config.seed, Events()),
-      sync_timer_(io),
-      sessions_timer_(io),
+      hot_restart_(io, HotRestartDirectory(config), config.name, config.seed, MakeEvents()),
+      older_sync_timer_(io),
+      session_sync_timer_(io),
       quota_timer_(io) {}
 
-HotRestartEvents HotRestartCoordinator::Events() {
+HotRestartEvents HotRestartCoordinator::MakeEvents() {
   return {
       [this](PeerProcess peer, HotRestartStep step) { OnStep(peer, step); },
       [this](const DescriptorUsage& usage) { OnDescriptorUsage(usage); },
@@ -53,25 +56,25 @@
 }
 
 void HotRestartCoordinator::Start() {
-  if (!hot_restart_.ConnectToOlder()) return Serve();
-  LogInfo("takes_over", config_.name + " takes over from a running process", {{"name", config_.name}});
-  SetQuota(kShareBesideAnother);
+  if (!hot_restart_.ConnectToOlder()) return StartServing();
+  LogInfo("takes_over", config_.name + " is taking over from an older process", {{"name", config_.name}});
+  SetQuota(kHalfShare);
   dispatcher_.SetReplicationEnabled(true);
   dispatcher_.SetSessionSync(clock_.Now(), {.complete = false});
-  AwaitStateOfOlder();
+  StartSyncTimeout();
 }
 
-void HotRestartCoordinator::AwaitStateOfOlder() {
-  sync_timer_.ExpireAfter(kSyncTimeout, [this] {
+void HotRestartCoordinator::StartSyncTimeout() {
+  older_sync_timer_.ExpireAfter(kSyncTimeout, [this] {
     if (serving_state_.state() != ServingState::State::kStarting) return;
     hot_restart_.Disconnect(PeerProcess::kOlder);
-    Serve();
+    StartServing();
   });
 }
 
-void HotRestartCoordinator::Serve() {
+void HotRestartCoordinator::StartServing() {
   if (serving_state_.state() != ServingState::State::kStarting) return;
-  sync_timer_.Cancel();
+  older_sync_timer_.Cancel();
   serving_state_.Start();
   listener_.StartAccepting();
   hot_restart_.SendStep(PeerProcess::kOlder, HotRestartStep::kServing);
@@ -80,7 +83,7 @@
   const std::string address = host + ":" + std::to_string(listener_.port());
   const std::size_t servers = config_.cached_listing.servers.size();
   LogInfo("serving",
-          config_.name + " serves on " + address + ", knows " + std::to_string(servers) + " servers",
+          config_.name + " is serving on " + address + " and knows " + std::to_string(servers) + " servers",
           {{"name", config_.name}, {"address", address}, {"servers", static_cast<std::int64_t>(servers)}});
 }
 
@@ -88,16 +91,16 @@
   if (peer == PeerProcess::kOlder) {
     if (step != HotRestartStep::kSynced) return;
     dispatcher_.SetSessionSync(clock_.Now(), {.complete = true});
-    return Serve();
+    return StartServing();
   }
-  if (step == HotRestartStep::kHello) return ShareWithNewer();
+  if (step == HotRestartStep::kHello) return SyncWithNewer();
   if (step == HotRestartStep::kServing) return HandOverToNewer();
 }
 
-void HotRestartCoordinator::ShareWithNewer() {
-  LogInfo("newer_process", "a newer process has come: half of the room is left to it");
-  // The quota first: both processes together hold no more than one may.
-  SetQuota(kShareBesideAnother);
+void HotRestartCoordinator::SyncWithNewer() {
+  LogInfo("newer_process", "a newer process has connected: limits are reduced to half while both run");
+  // The quota is reduced first, so that both processes together stay within the limits of one.
+  SetQuota(kHalfShare);
   dispatcher_.SetReplicationEnabled(true);
   for (const ServerUpdate& server : dispatcher_.ServerSnapshot()) hot_restart_.SendToNewer(server);
   for (const SessionUpdate& session : dispatcher_.SessionSnapshot()) hot_restart_.SendToNewer(session);
@@ -105,8 +108,8 @@
 }
 
 void HotRestartCoordinator::HandOverToNewer() {
-  LogInfo("handed_over", "the newer process takes the clients: " + std::to_string(dispatcher_.in_progress()) +
-                             " requests are still out");
+  LogInfo("handed_over", "clients handed over to the newer process: " +
+                             std::to_string(dispatcher_.in_progress()) + " requests in progress");
   listener_.PauseAccepting();
   serving_state_.HandOver(clock_.Now());
   reported_descriptors_ = config_.max_sockets;
@@ -116,7 +119,7 @@
 void HotRestartCoordinator::ReduceQuota() {
   if (serving_state_.state() != ServingState::State::kHandedOver) return;
   pool_.SetMaxConnections(dispatcher_.in_progress() + kSpareServerConnections);
-  const int descriptors = static_cast<int>(listener_.clients() + pool_.connections()) + kOwnDescriptors;
+  const int descriptors = static_cast<int>(listener_.clients() + pool_.connections()) + kReservedDescriptors;
   if (descriptors < reported_descriptors_) {
     reported_descriptors_ = descriptors;
     hot_restart_.SendToNewer(DescriptorUsage{descriptors});
@@ -124,33 +127,33 @@
   quota_timer_.ExpireAfter(kReduceQuotaInterval, [this] { ReduceQuota(); });
 }
 
-// The older process needs less and less: this one has the rest.
+// The older process reports decreasing use, and this one may use the rest.
 void HotRestartCoordinator::OnDescriptorUsage(const DescriptorUsage& usage) {
   const double configured = config_.max_sockets;
-  SetQuota(std::max(kShareBesideAnother, (configured - usage.descriptors) / configured));
+  SetQuota(std::max(kHalfShare, (configured - usage.descriptors) / configured));
 }
 
 void HotRestartCoordinator::OnDisconnected(PeerProcess peer, DisconnectReason reason) {
   const bool finished = reason == DisconnectReason::kFinished;
-  LogInfo("partner_left",
-          std::string("the ") + NameOf(peer) + " process " + (finished ? "has ended" : "broke off"));
+  LogInfo("partner_left", std::string("the ") + NameOf(peer) + " process " +
+                              (finished ? "has finished" : "disconnected before it finished"));
   if (hot_restart_.alone()) {
-    SetQuota(kWholeShare);
+    SetQuota(kFullShare);
     dispatcher_.SetReplicationEnabled(false);
   }
   if (!finished) InvalidateSessions();
-  if (peer == PeerProcess::kOlder) return Serve();
+  if (peer == PeerProcess::kOlder) return StartServing();
   if (serving_state_.state() != ServingState::State::kHandedOver) return;
   serving_state_.TakeBack(clock_.Now());
   if (serving_state_.ready()) listener_.StartAccepting();
 }
 
-// The lost process may have answered writes that this one was not told of. None of their sessions is known
-// until the last of these writes must have ended; after that, whatever session is not known here has been
-// lost.
+// The lost peer may have responded to writes that it did not replicate to this process. Session state counts
+// as incomplete until the last of these writes must have ended. After that, sessions that are not known here
+// are lost.
 void HotRestartCoordinator::InvalidateSessions() {
   dispatcher_.SetSessionSync(clock_.Now(), {.complete = false});
-  sessions_timer_.ExpireAfter(std::chrono::microseconds(LongestDeadline(config_.settings)), [this] {
+  session_sync_timer_.ExpireAfter(std::chrono::microseconds(LongestDeadline(config_.settings)), [this] {
     dispatcher_.SetSessionSync(clock_.Now(), {.complete = true, .lost = true});
   });
 }
