--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 HotRestart::HotRestart(asio::io_context& io, const std::string& folder, const std::string& name,
-                       std::uint64_t seed, HotRestartEvents events)
+                       std::uint64_t seed, HotRestartCallbacks events)
     : io_(io), events_(std::move(events)), acceptor_(io) {
   if (folder.empty()) return;
   paths_ = MakeSocketPaths(folder, name, seed);
@@ -37,7 +37,7 @@
   }
 }
 
-bool HotRestart::ConnectToOlder() {
+bool HotRestart::ConnectToOlderProcess() {
   if (!paths_) return false;
   // Non-blocking: a file that nobody listens on, or a process that hangs, is no peer.
   Socket socket(io_);
@@ -48,12 +48,12 @@
   if (error) return false;
   Add(PeerProcess::kOlder, std::move(socket));
   SendStep(PeerProcess::kOlder, HotRestartStep::kHello);
-  return has(PeerProcess::kOlder);
+  return has_peer(PeerProcess::kOlder);
 }
 
 // The socket is made under a path of its own and renamed: this replaces the file of the older process, or of
 // one that is gone, atomically.
-void HotRestart::ListenForNewer() {
+void HotRestart::ListenForNewerProcess() {
   if (!paths_ || acceptor_.is_open()) return;
   const char* const unpublished = paths_->unpublished.c_str();
   std::error_code error;
--- a/src/hot_restart/hot_restart.hpp
+++ b/src/hot_restart/hot_restart.hpp
@@ -26,7 +26,7 @@
   kLost,
 };
 
-struct HotRestartEvents {
+struct HotRestartCallbacks {
   std::function<void(PeerProcess, HotRestartStep)> step;
   std::function<void(const DescriptorUsage&)> descriptor_usage;
   std::function<void(const SessionUpdate&)> session;
@@ -40,19 +40,19 @@
   // `folder` is shared by all processes of this router; empty: there is no hot restart. `name` is the
   // router's; `seed` differs between its processes.
   HotRestart(asio::io_context& io, const std::string& folder, const std::string& name, std::uint64_t seed,
-             HotRestartEvents events);
+             HotRestartCallbacks events);
   ~HotRestart();
   HotRestart(const HotRestart&) = delete;
   HotRestart& operator=(const HotRestart&) = delete;
 
   // Whether there is an older process; it has been greeted. Never waits.
-  bool ConnectToOlder();
+  bool ConnectToOlderProcess();
   // From now on a newer process finds this one.
-  void ListenForNewer();
+  void ListenForNewerProcess();
   void SendStep(PeerProcess peer, HotRestartStep step) { Send(peer, ToLine(step)); }
   // To each peer.
   void Broadcast(const HotRestartMessage& message);
-  void SendToNewer(const HotRestartMessage& message) { Send(PeerProcess::kNewer, ToLine(message)); }
+  void SendToNewerProcess(const HotRestartMessage& message) { Send(PeerProcess::kNewer, ToLine(message)); }
   // Handles what the peers have sent by now.
   void ReceivePending();
   // Closes the connection to that peer, if there is one, and reports it.
@@ -60,8 +60,8 @@
   // Tells the peers that this process is done, and closes all connections without events.
   void Stop();
 
-  bool has(PeerProcess peer) const { return Of(peer).connection != nullptr; }
-  bool alone() const { return !has(PeerProcess::kOlder) && !has(PeerProcess::kNewer); }
+  bool has_peer(PeerProcess peer) const { return Of(peer).connection != nullptr; }
+  bool has_no_peer() const { return !has_peer(PeerProcess::kOlder) && !has_peer(PeerProcess::kNewer); }
 
  private:
   using Socket = PeerConnection::Socket;
@@ -80,7 +80,7 @@
 
   asio::io_context& io_;
   std::optional<HotRestartSocketPaths> paths_;  // none: there is no hot restart
-  HotRestartEvents events_;
+  HotRestartCallbacks events_;
   asio::local::stream_protocol::acceptor acceptor_;
   Peer older_;
   Peer newer_;
--- a/src/server/counters_log.cpp
+++ b/src/server/counters_log.cpp
@@ -45,11 +45,11 @@
   line.Add("opened", counters.opened);
   line.Add("open_failed", counters.connect_failed);
   line.Add("retired", counters.idle_closed);
-  line.Add("given_up", counters.abandoned);
-  line.Add("broken", counters.broken);
+  line.Add("given_up", counters.cancelled);
+  line.Add("broken", counters.lost_while_busy);
   line.Add("garbage", counters.malformed);
   line.Add("stray", counters.unsolicited);
-  line.Add("no_room", counters.exhausted);
+  line.Add("no_room", counters.limit_exceeded);
   LogInfo("servers", line.text());
 }
 
--- a/src/server/hot_restart_coordinator.cpp
+++ b/src/server/hot_restart_coordinator.cpp
@@ -42,7 +42,7 @@
       sessions_timer_(io),
       quota_timer_(io) {}
 
-HotRestartEvents HotRestartCoordinator::Events() {
+HotRestartCallbacks HotRestartCoordinator::Events() {
   return {
       [this](PeerProcess peer, HotRestartStep step) { OnStep(peer, step); },
       [this](const DescriptorUsage& usage) { OnDescriptorUsage(usage); },
@@ -53,7 +53,7 @@
 }
 
 void HotRestartCoordinator::Start() {
-  if (!hot_restart_.ConnectToOlder()) return Serve();
+  if (!hot_restart_.ConnectToOlderProcess()) return Serve();
   LogInfo("takes_over", config_.name + " takes over from a running process", {{"name", config_.name}});
   SetQuota(kShareBesideAnother);
   dispatcher_.EnableReplication(true);
@@ -75,7 +75,7 @@
   serving_state_.Start();
   listener_.StartAccepting();
   hot_restart_.SendStep(PeerProcess::kOlder, HotRestartStep::kServing);
-  hot_restart_.ListenForNewer();
+  hot_restart_.ListenForNewerProcess();
   const std::string host = ParseHostPortOrThrow(config_.listen_address).host;
   const std::string address = host + ":" + std::to_string(listener_.port());
   const std::size_t servers = config_.cached_listing.servers.size();
@@ -99,8 +99,8 @@
   // The quota first: both processes together hold no more than one may.
   SetQuota(kShareBesideAnother);
   dispatcher_.EnableReplication(true);
-  for (const ServerUpdate& server : dispatcher_.ServerSnapshot()) hot_restart_.SendToNewer(server);
-  for (const SessionUpdate& session : dispatcher_.SessionSnapshot()) hot_restart_.SendToNewer(session);
+  for (const ServerUpdate& server : dispatcher_.ServerSnapshot()) hot_restart_.SendToNewerProcess(server);
+  for (const SessionUpdate& session : dispatcher_.SessionSnapshot()) hot_restart_.SendToNewerProcess(session);
   hot_restart_.SendStep(PeerProcess::kNewer, HotRestartStep::kSynced);
 }
 
@@ -119,7 +119,7 @@
   const int descriptors = static_cast<int>(listener_.clients() + pool_.connections()) + kOwnDescriptors;
   if (descriptors < reported_descriptors_) {
     reported_descriptors_ = descriptors;
-    hot_restart_.SendToNewer(DescriptorUsage{descriptors});
+    hot_restart_.SendToNewerProcess(DescriptorUsage{descriptors});
   }
   quota_timer_.ExpireAfter(kReduceQuotaInterval, [this] { ReduceQuota(); });
 }
@@ -134,7 +134,7 @@
   const bool finished = reason == DisconnectReason::kFinished;
   LogInfo("partner_left",
           std::string("the ") + NameOf(peer) + " process " + (finished ? "has ended" : "broke off"));
-  if (hot_restart_.alone()) {
+  if (hot_restart_.has_no_peer()) {
     SetQuota(kWholeShare);
     dispatcher_.EnableReplication(false);
   }
--- a/src/server/hot_restart_coordinator.hpp
+++ b/src/server/hot_restart_coordinator.hpp
@@ -33,7 +33,7 @@
   void Stop() { hot_restart_.Stop(); }
 
  private:
-  HotRestartEvents Events();
+  HotRestartCallbacks Events();
   void OnStep(PeerProcess peer, HotRestartStep step);
   void OnDescriptorUsage(const DescriptorUsage& usage);
   void OnDisconnected(PeerProcess peer, DisconnectReason reason);
--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -73,7 +73,7 @@
       Open(server);
       continue;
     }
-    ++counters_.exhausted;
+    ++counters_.limit_exceeded;
     Finish(pending_.TakeLast(server).operation_id, Outcome{.status = Status::kConnectFailed});
   }
 }
@@ -165,7 +165,7 @@
 void UpstreamPool::OnBroken(const UpstreamConnectionPtr& connection) {
   if (connection->state() == State::kConnecting) return OnConnectFailed(connection, Status::kConnectFailed);
   if (connection->state() != State::kBusy) return Replace(connection);
-  ++counters_.broken;
+  ++counters_.lost_while_busy;
   const OperationId operation_id = connection->operation_id();
   // Without its last byte the server did not begin the statement.
   const Status status = connection->all_sent() ? Status::kReset : Status::kConnectFailed;
@@ -224,7 +224,7 @@
 void UpstreamPool::Cancel(OperationId operation_id) {
   const auto busy = busy_.find(operation_id);
   if (busy == busy_.end()) return pending_.Remove(operation_id);
-  ++counters_.abandoned;
+  ++counters_.cancelled;
   const UpstreamConnectionPtr connection = busy->second;
   Close(connection);
 }
--- a/src/upstream/upstream_pool.hpp
+++ b/src/upstream/upstream_pool.hpp
@@ -27,16 +27,16 @@
   std::size_t max_connections = 0;
 };
 
-// Of connections, since the start; exhausted counts operations.
+// Of connections, since the start; limit_exceeded counts operations.
 struct UpstreamPoolCounters {
   std::uint64_t opened = 0;
   std::uint64_t connect_failed = 0;
-  std::uint64_t idle_closed = 0;  // idle for too long, or evicted to make room
-  std::uint64_t abandoned = 0;    // closed since the running operation was cancelled
-  std::uint64_t broken = 0;       // ended amid an operation
-  std::uint64_t malformed = 0;    // the server broke the protocol
-  std::uint64_t unsolicited = 0;  // the server sent what was not asked for
-  std::uint64_t exhausted = 0;    // operations for which no connection could be opened within the limit
+  std::uint64_t idle_closed = 0;      // idle for too long, or evicted to make room
+  std::uint64_t cancelled = 0;        // closed since the running operation was cancelled
+  std::uint64_t lost_while_busy = 0;  // ended amid an operation
+  std::uint64_t malformed = 0;        // the server broke the protocol
+  std::uint64_t unsolicited = 0;      // the server sent what was not asked for
+  std::uint64_t limit_exceeded = 0;   // operations for which no connection could be opened within the limit
 };
 
 // Runs in the loop's thread. The outcome of each operation that is started is reported once to the
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -54,33 +54,34 @@
   const std::string path = folder + "/tulipyoke-n_0.sock";
   std::ofstream(path) << "not a socket";
   RecordingProcess older(io, folder, 1), newer(io, folder, 2);
-  EXPECT_FALSE(older.hot_restart.ConnectToOlder());
-  older.hot_restart.ListenForNewer();
-  EXPECT_TRUE(newer.hot_restart.ConnectToOlder());
+  EXPECT_FALSE(older.hot_restart.ConnectToOlderProcess());
+  older.hot_restart.ListenForNewerProcess();
+  EXPECT_TRUE(newer.hot_restart.ConnectToOlderProcess());
   older.hot_restart.Stop();
   EXPECT_TRUE(std::filesystem::exists(path));  // stale again
   RecordingProcess third(io, folder, 3), none(io, "", 4);
-  EXPECT_FALSE(third.hot_restart.ConnectToOlder());
-  EXPECT_FALSE(none.hot_restart.ConnectToOlder());
-  newer.hot_restart.ListenForNewer();
-  EXPECT_TRUE(third.hot_restart.ConnectToOlder());
+  EXPECT_FALSE(third.hot_restart.ConnectToOlderProcess());
+  EXPECT_FALSE(none.hot_restart.ConnectToOlderProcess());
+  newer.hot_restart.ListenForNewerProcess();
+  EXPECT_TRUE(third.hot_restart.ConnectToOlderProcess());
 }
 
 // State is not lost, not sent back to the process that it came from, and available as soon as it is asked
 // for.
 TEST_F(HotRestartTest, ReplicatesToAllConnectedProcesses) {
   RecordingProcess a(io, folder, 1), b(io, folder, 2), c(io, folder, 3);
-  a.hot_restart.ListenForNewer();
-  ASSERT_TRUE(b.hot_restart.ConnectToOlder());
+  a.hot_restart.ListenForNewerProcess();
+  ASSERT_TRUE(b.hot_restart.ConnectToOlderProcess());
   Until([&] { return !a.steps.empty(); });
   EXPECT_EQ(a.steps, (std::vector<HotRestartStep>{HotRestartStep::kHello}));
-  for (std::uint64_t key = 1; key <= 20'000; ++key) a.hot_restart.SendToNewer(SessionUpdate{key, 0, 5});
+  for (std::uint64_t key = 1; key <= 20'000; ++key)
+    a.hot_restart.SendToNewerProcess(SessionUpdate{key, 0, 5});
   a.hot_restart.SendStep(PeerProcess::kNewer, HotRestartStep::kSynced);
   Until([&] { return !b.steps.empty(); });
   EXPECT_EQ(b.keys.size(), 20'000u);
-  b.hot_restart.ListenForNewer();
-  ASSERT_TRUE(c.hot_restart.ConnectToOlder());
-  Until([&] { return !b.hot_restart.alone() && b.steps.size() == 2; });
+  b.hot_restart.ListenForNewerProcess();
+  ASSERT_TRUE(c.hot_restart.ConnectToOlderProcess());
+  Until([&] { return !b.hot_restart.has_no_peer() && b.steps.size() == 2; });
   a.hot_restart.Broadcast(SessionUpdate{77, 0, 5});
   b.hot_restart.ReceivePending();  // without an iteration of the loop
   EXPECT_EQ(b.keys.back(), 77u);
@@ -91,9 +92,9 @@
   a.hot_restart.Stop();
   Until([&] { return !b.disconnects.empty(); });
   EXPECT_EQ(b.disconnects, (std::vector<DisconnectReason>{DisconnectReason::kFinished}));
-  EXPECT_TRUE(b.hot_restart.has(PeerProcess::kNewer));
+  EXPECT_TRUE(b.hot_restart.has_peer(PeerProcess::kNewer));
   c.hot_restart.Disconnect(PeerProcess::kOlder);
-  Until([&] { return b.hot_restart.alone(); });
+  Until([&] { return b.hot_restart.has_no_peer(); });
   EXPECT_EQ(b.disconnects,
             (std::vector<DisconnectReason>{DisconnectReason::kFinished, DisconnectReason::kLost}));
 }
@@ -101,7 +102,7 @@
 // A peer that speaks another protocol is disconnected.
 TEST_F(HotRestartTest, MalformedInputClosesOnlyThatConnection) {
   RecordingProcess a(io, folder, 1);
-  a.hot_restart.ListenForNewer();
+  a.hot_restart.ListenForNewerProcess();
   for (unsigned seed = 0; seed < 20; ++seed) {
     std::mt19937 random(seed);
     std::string bytes(5000, '\0');
@@ -112,7 +113,7 @@
     Until([&] { return a.disconnects.size() == seed + 1; });
   }
   EXPECT_TRUE(a.steps.empty());
-  EXPECT_TRUE(a.hot_restart.alone());
+  EXPECT_TRUE(a.hot_restart.has_no_peer());
 }
 
 }  // namespace
