--- a/src/upstream/idle_policy.cpp
+++ b/src/upstream/idle_policy.cpp
@@ -5,23 +5,24 @@
 namespace tulipyoke::net {
 namespace {
 
-// The part of the servers' time-out during which an idle connection is used.
-constexpr double kUsableShare = 0.6;
-// So many checks fall into the rest of it.
-constexpr int kChecksInRest = 2;
+// The fraction of the servers' idle timeout during which an idle connection may be used.
+constexpr double kUsableFraction = 0.6;
+// The number of checks during the remaining part of that timeout.
+constexpr int kChecksInRemainder = 2;
 constexpr Micros kMinCheckInterval = 10'000;
-// Stalled transfers are found by the same check.
+// The same check detects stalled streams.
 constexpr Micros kMaxCheckInterval = 500'000;
 
 }  // namespace
 
-Micros IdlePolicy::OldestUsable(Micros now) const {
-  return now - static_cast<Micros>(kUsableShare * static_cast<double>(server_idle_timeout_));
+Micros IdlePolicy::IdleSinceCutoff(Micros now) const {
+  return now - static_cast<Micros>(kUsableFraction * static_cast<double>(server_idle_timeout_));
 }
 
 Micros IdlePolicy::CheckInterval() const {
-  const auto rest = static_cast<Micros>((1 - kUsableShare) * static_cast<double>(server_idle_timeout_));
-  return std::clamp(rest / kChecksInRest, kMinCheckInterval, kMaxCheckInterval);
+  const auto remaining =
+      static_cast<Micros>((1 - kUsableFraction) * static_cast<double>(server_idle_timeout_));
+  return std::clamp(remaining / kChecksInRemainder, kMinCheckInterval, kMaxCheckInterval);
 }
 
 }  // namespace tulipyoke::net
--- a/src/upstream/idle_policy.hpp
+++ b/src/upstream/idle_policy.hpp
@@ -1,4 +1,4 @@
-// How long an idle connection to a server may still be used, given that the server closes it at some point.
+// Limits how long an idle connection to a server is reused, since servers close idle connections.
 #ifndef TULIPYOKE_SRC_UPSTREAM_IDLE_POLICY_HPP_
 #define TULIPYOKE_SRC_UPSTREAM_IDLE_POLICY_HPP_
 
@@ -8,13 +8,13 @@
 
 class IdlePolicy {
  public:
-  // The servers close connections that have been idle for `server_idle_timeout` microseconds.
+  // `server_idle_timeout`: microseconds after which servers close an idle connection.
   explicit IdlePolicy(Micros server_idle_timeout) : server_idle_timeout_(server_idle_timeout) {}
 
-  // A connection that has been idle since before then must not be used any more: its server may close it at
-  // any moment, and a query that crosses the close ends as a reset.
-  Micros OldestUsable(Micros now) const;
-  // How often idle connections are to be checked.
+  // A connection that became idle before the returned time must not be used: its server may close it at any
+  // moment, and a query sent while it does so fails with a connection reset.
+  Micros IdleSinceCutoff(Micros now) const;
+  // The interval at which idle connections must be checked.
   Micros CheckInterval() const;
 
  private:
--- a/src/upstream/outgoing_message.cpp
+++ b/src/upstream/outgoing_message.cpp
@@ -15,7 +15,7 @@
 constexpr std::string_view kDatabase = "ledger";
 constexpr std::string_view kProbeQuery = "SHOW pressure";
 constexpr Micros kMicrosPerMillisecond = 1000;
-constexpr std::string_view kStringEnd("\0", 1);
+constexpr std::string_view kStringTerminator("\0", 1);
 
 }  // namespace
 
@@ -39,13 +39,13 @@
 }
 
 void OutgoingMessage::SetQuery(const RequestPayload& payload) {
-  const std::string_view before = payload.BeforeTimeout();
-  const std::string_view behind = payload.AfterTimeout();
+  const std::string_view before_timeout = payload.BeforeTimeout();
+  const std::string_view after_timeout = payload.AfterTimeout();
   header_.clear();
   pg::AppendHeader(header_, pg::frontend::kQuery,
-                   before.size() + timeout_.size() + behind.size() + kStringEnd.size());
-  unsent_ = {asio::buffer(header_), asio::buffer(before), asio::buffer(timeout_), asio::buffer(behind),
-             asio::buffer(kStringEnd)};
+                   before_timeout.size() + timeout_.size() + after_timeout.size() + kStringTerminator.size());
+  unsent_ = {asio::buffer(header_), asio::buffer(before_timeout), asio::buffer(timeout_),
+             asio::buffer(after_timeout), asio::buffer(kStringTerminator)};
 }
 
 std::error_code OutgoingMessage::WriteTo(asio::ip::tcp::socket& socket) {
@@ -53,9 +53,9 @@
   while (!sent() && !error) {
     std::size_t written = socket.write_some(unsent_, error);
     for (asio::const_buffer& part : unsent_) {
-      const std::size_t from_part = std::min(written, part.size());
-      part += from_part;
-      written -= from_part;
+      const std::size_t consumed = std::min(written, part.size());
+      part += consumed;
+      written -= consumed;
     }
   }
   return error;
--- a/src/upstream/outgoing_message.hpp
+++ b/src/upstream/outgoing_message.hpp
@@ -1,4 +1,4 @@
-// The message that is being written to a server, and how much of it the socket has not taken yet.
+// The message that is being written to a server, and the part of it that has not been written yet.
 #ifndef TULIPYOKE_SRC_UPSTREAM_OUTGOING_MESSAGE_HPP_
 #define TULIPYOKE_SRC_UPSTREAM_OUTGOING_MESSAGE_HPP_
 
@@ -12,8 +12,8 @@
 
 namespace tulipyoke::net {
 
-// Neither copied nor moved, since it refers to its own bytes. One message at a time: setting another replaces
-// it.
+// Cannot be copied or moved, since its buffers point into the object. Holds one message at a time: setting
+// another one replaces it.
 class OutgoingMessage {
  public:
   OutgoingMessage() = default;
@@ -22,14 +22,14 @@
   OutgoingMessage& operator=(const OutgoingMessage&) = delete;
 
   void SetStartup();
-  // The client's statement, whose timeout is replaced by `remaining` microseconds, at least a millisecond.
-  // Its bytes are not copied: the payload is kept until ReleasePayload.
+  // Sets the client's statement with its timeout replaced by `remaining` microseconds, in whole milliseconds
+  // and at least one. The payload is not copied but referenced until ReleasePayload.
   void SetStatement(std::shared_ptr<const RequestPayload> payload, Micros remaining);
   void SetProbe();
 
-  // Writes as much as the non-blocking socket takes at once. The error is would_block where that is not all.
+  // Writes as much as the non-blocking socket accepts. Returns would_block if part of the message remains.
   std::error_code WriteTo(asio::ip::tcp::socket& socket);
-  // Whether the socket has taken all of it.
+  // Whether the whole message has been written to the socket.
   bool sent() const { return asio::buffer_size(unsent_) == 0; }
   void ReleasePayload() { payload_.reset(); }
 
--- a/src/upstream/pending_operations.hpp
+++ b/src/upstream/pending_operations.hpp
@@ -1,4 +1,4 @@
-// Attempts and probes that wait for a connection to their server, first come first served.
+// Queues of attempts and probes that wait for a connection to their server, first in, first out.
 #ifndef TULIPYOKE_SRC_UPSTREAM_PENDING_OPERATIONS_HPP_
 #define TULIPYOKE_SRC_UPSTREAM_PENDING_OPERATIONS_HPP_
 
@@ -12,13 +12,13 @@
 
 namespace tulipyoke::net {
 
-// One attempt or probe, from its start until a connection takes it. Times are microseconds of the loop's
-// clock.
+// An attempt or probe that has not been assigned to a connection yet. Times are in microseconds of the event
+// loop's clock.
 struct PendingOperation {
   OperationId operation_id = 0;
-  std::shared_ptr<const RequestPayload> payload = {};  // none: a probe
-  Micros client_deadline = 0;                          // when the client gives up
-  Micros latest_start = kNoDeadline;                   // not begun by then, it must not be sent any more
+  std::shared_ptr<const RequestPayload> payload = {};  // null for a probe
+  Micros client_deadline = 0;                          // when the client stops waiting
+  Micros latest_start = kNoDeadline;                   // after this time it must not be sent
 };
 
 // Not thread-safe.
@@ -26,18 +26,18 @@
  public:
   void Push(ServerId server, PendingOperation operation);
   std::size_t Count(ServerId server) const;
-  // The first and the last that wait for the server; there must be one.
+  // Remove and return the first or last operation that waits for the server. There must be one.
   PendingOperation TakeFirst(ServerId server);
   PendingOperation TakeLast(ServerId server);
   std::deque<PendingOperation> TakeAll(ServerId server);
-  // Does nothing where the operation does not wait.
+  // Has no effect if the operation is not waiting.
   void Remove(OperationId operation_id);
 
  private:
   void EraseIfEmpty(ServerId server);
 
-  std::map<ServerId, std::deque<PendingOperation>> queues_;
-  std::unordered_map<OperationId, ServerId> servers_;
+  std::map<ServerId, std::deque<PendingOperation>> queue_by_server_;
+  std::unordered_map<OperationId, ServerId> server_by_operation_;
 };
 
 }  // namespace tulipyoke::net
--- a/src/upstream/upstream_connection.cpp
+++ b/src/upstream/upstream_connection.cpp
@@ -9,10 +9,9 @@
 namespace tulipyoke::net {
 namespace {
 
-// A server may send more than was asked for right behind a response.
-constexpr Micros kRestTime = 2'000;
-// A value that is streamed is given up when nothing has come for so long; until then its server may only be
-// slow.
+// The time in which unsolicited data that a server sends right after a response is detected.
+constexpr Micros kCooldown = 2'000;
+// A streamed value is abandoned after this time without data; until then its server may just be slow.
 constexpr Micros kStallTimeout = 10'000'000;
 
 }  // namespace
@@ -30,7 +29,7 @@
 
 void UpstreamConnection::Connect(Micros timeout) {
   timer_.ExpireAt(clock_.ToSteady(clock_.Now() + timeout), [weak = weak_from_this()] {
-    if (const UpstreamConnectionPtr self = weak.lock()) self->Fail(ConnectionFault::kConnectFailed);
+    if (const UpstreamConnectionPtr self = weak.lock()) self->Fail(ConnectionFailure::kConnectFailed);
   });
   socket_.async_connect(endpoint_,
                         [self = shared_from_this()](std::error_code error) { self->OnConnected(error); });
@@ -39,7 +38,7 @@
 void UpstreamConnection::OnConnected(std::error_code error) {
   if (state_ != State::kConnecting) return;
   if (!error) socket_.non_blocking(true, error);
-  if (error) return Fail(ConnectionFault::kConnectFailed);
+  if (error) return Fail(ConnectionFailure::kConnectFailed);
   std::error_code ignored;
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
   outgoing_.SetStartup();
@@ -68,8 +67,8 @@
   Write();
 }
 
-void UpstreamConnection::RestBeforeReady() {
-  timer_.ExpireAt(clock_.ToSteady(clock_.Now() + kRestTime), [weak = weak_from_this()] {
+void UpstreamConnection::StartCooldown() {
+  timer_.ExpireAt(clock_.ToSteady(clock_.Now() + kCooldown), [weak = weak_from_this()] {
     if (const UpstreamConnectionPtr self = weak.lock()) self->listener_.OnReady(self);
   });
 }
@@ -87,7 +86,7 @@
   return response_.outcome();
 }
 
-bool UpstreamConnection::IsQuiet() {
+bool UpstreamConnection::HasNothingToRead() {
   char byte = 0;
   std::error_code error;
   socket_.receive(asio::buffer(&byte, 1), asio::socket_base::message_peek, error);
@@ -95,12 +94,12 @@
 }
 
 bool UpstreamConnection::IsStalled() {
-  return stream_ && !reading_paused_ && clock_.Now() - last_read_ > kStallTimeout;
+  return stream_ && !reading_paused_ && clock_.Now() - last_read_time_ > kStallTimeout;
 }
 
-// Written at once, as far as the socket takes it, so that outgoing_ is true at every moment. A handler that
-// told later what the socket took could come behind that of the connection's end, and an attempt whose last
-// byte is out would be taken for one that was never sent.
+// Writes synchronously, so that outgoing_ always shows exactly what the socket has accepted. The handler of
+// an asynchronous write could run after the one that reports the end of the connection, and an attempt whose
+// last byte was sent would be reported as never sent.
 void UpstreamConnection::Write() {
   const std::error_code error = outgoing_.WriteTo(socket_);
   if (error == asio::error::would_block) {
@@ -108,15 +107,17 @@
                        [self = shared_from_this()](std::error_code failed) { self->OnWritable(failed); });
     return;
   }
-  if (error) return Fail(ConnectionFault::kBroken);
+  if (error) return Fail(ConnectionFailure::kConnectionLost);
   outgoing_.ReleasePayload();
   if (state_ == State::kBusy) listener_.OnWritten(shared_from_this());
 }
 
 void UpstreamConnection::OnWritable(std::error_code error) {
   if (error || IsClosed()) return;
-  // The server begins with the last byte: sent now, the statement could take effect a second time.
-  if (state_ == State::kBusy && latest_start_ < clock_.Now()) return Fail(ConnectionFault::kStartTooLate);
+  // The server executes a statement when its last byte arrives: if that is sent now, the statement could take
+  // effect a second time.
+  if (state_ == State::kBusy && latest_start_ < clock_.Now())
+    return Fail(ConnectionFailure::kStartDeadlineMissed);
   Write();
 }
 
@@ -128,21 +129,22 @@
 
 void UpstreamConnection::OnRead(std::error_code error, std::size_t size) {
   if (IsClosed()) return;
-  if (error) return Fail(ConnectionFault::kBroken);
-  OnBytes(std::string_view(read_buffer_.data(), size));
+  if (error) return Fail(ConnectionFailure::kConnectionLost);
+  OnBytesReceived(std::string_view(read_buffer_.data(), size));
   if (!IsClosed() && !reading_paused_) Read();
 }
 
-void UpstreamConnection::OnBytes(std::string_view bytes) {
+void UpstreamConnection::OnBytesReceived(std::string_view bytes) {
   const bool expects_data = state_ == State::kConnecting || state_ == State::kBusy;
-  if (!expects_data) return Fail(ConnectionFault::kUnsolicitedData);
+  if (!expects_data) return Fail(ConnectionFailure::kUnsolicitedData);
   reader_.Feed(bytes);
-  last_read_ = clock_.Now();
+  last_read_time_ = clock_.Now();
   while (!IsClosed() && ReadNext()) {
   }
 }
 
-// The next message, or the next piece of a value that is streamed; false where more bytes are needed.
+// Processes the next message, or the next part of a streamed value. Returns false if more bytes are needed,
+// or after a protocol violation.
 bool UpstreamConnection::ReadNext() {
   if (value_remaining_ > 0) return ForwardValue();
   if (state_ == State::kBusy) {
@@ -153,7 +155,7 @@
   }
   const std::optional<pg::Message> message = reader_.error() ? std::nullopt : reader_.Next();
   if (reader_.error()) {
-    Fail(ConnectionFault::kMalformed);
+    Fail(ConnectionFailure::kProtocolViolation);
     return false;
   }
   if (!message) return false;
@@ -167,7 +169,7 @@
       return OnStartupMessage(message);
     case State::kBusy:
       return OnResponseMessage(message);
-    case State::kResting:
+    case State::kCoolingDown:
     case State::kIdle:
     case State::kClosed:
       return;
@@ -179,7 +181,7 @@
     case pg::backend::kAuthentication: {
       const pg::Result<pg::Authentication> authentication = pg::ParseAuthentication(message.body);
       const bool done = authentication.ok() && *authentication == pg::Authentication::kDone;
-      if (!done) Fail(ConnectionFault::kMalformed);
+      if (!done) Fail(ConnectionFailure::kProtocolViolation);
       return;
     }
     case pg::backend::kErrorResponse:
@@ -192,43 +194,43 @@
     case pg::backend::kNoticeResponse:
       return;
     default:
-      return Fail(ConnectionFault::kMalformed);
+      return Fail(ConnectionFailure::kProtocolViolation);
   }
 }
 
 void UpstreamConnection::OnStartupError(std::string_view body) {
   const pg::Result<pg::ErrorFields> fields = pg::ParseError(body);
-  if (!fields) return Fail(ConnectionFault::kMalformed);
-  const bool is_full = fields->code == pg::sqlstate::kTooManyConnections;
-  Fail(is_full ? ConnectionFault::kServerFull : ConnectionFault::kConnectFailed);
+  if (!fields) return Fail(ConnectionFailure::kProtocolViolation);
+  const bool at_connection_limit = fields->code == pg::sqlstate::kTooManyConnections;
+  Fail(at_connection_limit ? ConnectionFailure::kServerAtConnectionLimit : ConnectionFailure::kConnectFailed);
 }
 
 void UpstreamConnection::OnResponseMessage(const pg::Message& message) {
   const pg::Result<pg::ResponseProgress> progress = response_.Read(message);
-  if (!progress) return Fail(ConnectionFault::kMalformed);
+  if (!progress) return Fail(ConnectionFailure::kProtocolViolation);
   if (*progress == pg::ResponseProgress::kIncomplete) return;
   stream_.reset();
-  reading_paused_ = false;  // the stream holds what the client has not taken yet
+  reading_paused_ = false;  // the stream buffers what the client has not consumed yet
   Outcome outcome = *response_.outcome();
-  state_ = State::kResting;
+  state_ = State::kCoolingDown;
   listener_.OnResponse(shared_from_this(), std::move(outcome));
 }
 
 void UpstreamConnection::OnLargeRow(std::size_t size) {
-  if (response_.BeginRow()) return Fail(ConnectionFault::kMalformed);
+  if (response_.BeginRow()) return Fail(ConnectionFailure::kProtocolViolation);
   stream_ = listener_.OnLargeValue(shared_from_this(), response_.row_description(), size);
-  if (!stream_) return Fail(ConnectionFault::kValueNotWanted);
+  if (!stream_) return Fail(ConnectionFailure::kStreamRejected);
   value_remaining_ = size;
   stream_->on_writable = [weak = weak_from_this()] {
     if (const UpstreamConnectionPtr self = weak.lock()) self->ResumeReading();
   };
 }
 
-// False where more bytes are needed.
+// Returns false if more bytes are needed.
 bool UpstreamConnection::ForwardValue() {
   const std::string_view bytes = reader_.TakeValue(value_remaining_);
   value_remaining_ -= bytes.size();
-  // The stream's observers may close this connection, and with it drop its own reference.
+  // The stream's observers may close this connection, which resets stream_.
   const std::shared_ptr<ResponseStream> stream = stream_;
   if (!bytes.empty()) reading_paused_ = !stream->Write(bytes);
   return value_remaining_ == 0;
@@ -237,7 +239,7 @@
 void UpstreamConnection::ResumeReading() {
   if (IsClosed() || !reading_paused_) return;
   reading_paused_ = false;
-  last_read_ = clock_.Now();
+  last_read_time_ = clock_.Now();
   Read();
 }
 
--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -44,18 +44,18 @@
   Upstream& upstream = upstreams_[server];
   if (!upstream.endpoint) return Finish(operation.operation_id, Outcome{.status = Status::kConnectFailed});
   if (const UpstreamConnectionPtr connection = TakeIdle(upstream)) return Run(connection, operation);
-  pending_.Push(server, std::move(operation));
-  OpenForPending(server);
+  pending_operations_.Push(server, std::move(operation));
+  OpenConnectionsForPending(server);
 }
 
-// The age is checked again, since maintenance may come round less often than connections expire.
+// Checks the idle time again, since connections may expire between two maintenance runs.
 UpstreamConnectionPtr UpstreamPool::TakeIdle(Upstream& upstream) {
   while (!upstream.idle.empty()) {
     UpstreamConnectionPtr connection = upstream.idle.back();
-    if (connection->idle_since() < idle_policy_.OldestUsable(clock_.Now())) {
+    if (connection->idle_since() < idle_policy_.IdleSinceCutoff(clock_.Now())) {
       ++counters_.idle_closed;
       Close(connection);
-    } else if (!connection->IsQuiet()) {
+    } else if (!connection->HasNothingToRead()) {
       ++counters_.unsolicited;
       Close(connection);
     } else {
@@ -66,15 +66,15 @@
   return nullptr;
 }
 
-void UpstreamPool::OpenForPending(ServerId server) {
+void UpstreamPool::OpenConnectionsForPending(ServerId server) {
   const Upstream& upstream = upstreams_[server];
-  while (upstream.upcoming() < pending_.Count(server)) {
-    if (connections_ < options_.max_connections || EvictIdle()) {
+  while (upstream.becoming_ready() < pending_operations_.Count(server)) {
+    if (connection_count_ < options_.max_connections || EvictLongestIdle()) {
       Open(server);
       continue;
     }
     ++counters_.limit_exceeded;
-    Finish(pending_.TakeLast(server).operation_id, Outcome{.status = Status::kConnectFailed});
+    Finish(pending_operations_.TakeLast(server).operation_id, Outcome{.status = Status::kConnectFailed});
   }
 }
 
@@ -83,30 +83,32 @@
   const auto connection = std::make_shared<UpstreamConnection>(
       io_, clock_, static_cast<UpstreamConnectionListener&>(*this), server, *upstream.endpoint);
   upstream.connecting.push_back(connection);
-  ++connections_;
+  ++connection_count_;
   ++counters_.opened;
   connection->Connect(options_.connect_timeout);
 }
 
 void UpstreamPool::Run(const UpstreamConnectionPtr& connection, const PendingOperation& operation) {
-  // Its connection took too long: sent now, it could take effect a second time.
+  // The operation waited too long for a connection: if sent now, it could take effect a second time.
   if (operation.latest_start < clock_.Now()) {
     Finish(operation.operation_id, Outcome{.status = Status::kNotSent});
     return OnReady(connection);
   }
-  busy_[operation.operation_id] = connection;
+  busy_connections_[operation.operation_id] = connection;
   connection->Run(operation);
 }
 
 void UpstreamPool::OnReady(const UpstreamConnectionPtr& connection) {
   const ServerId server = connection->server();
   Upstream& upstream = upstreams_[server];
-  if (connection->endpoint() != upstream.endpoint) return Replace(connection);  // the server has moved
-  if (connection->has_partial_messages() || !connection->IsQuiet()) return OnUnsolicitedData(connection);
+  if (connection->endpoint() != upstream.endpoint)
+    return Replace(connection);  // the server's address has changed
+  if (connection->has_partial_messages() || !connection->HasNothingToRead())
+    return OnUnsolicitedData(connection);
   if (connection->state() == State::kConnecting) Remove(upstream.connecting, connection);
-  if (connection->state() == State::kResting) --upstream.resting;
+  if (connection->state() == State::kCoolingDown) --upstream.cooling_down;
   connection->BecomeIdle();
-  if (pending_.Count(server) > 0) return Run(connection, pending_.TakeFirst(server));
+  if (pending_operations_.Count(server) > 0) return Run(connection, pending_operations_.TakeFirst(server));
   upstream.idle.push_back(connection);
 }
 
@@ -122,32 +124,33 @@
 
 void UpstreamPool::OnResponse(const UpstreamConnectionPtr& connection, Outcome outcome) {
   const OperationId operation_id = connection->operation_id();
-  busy_.erase(operation_id);
-  ++upstreams_[connection->server()].resting;
-  // A response that came before all of the statement was sent: the next query would come behind the rest.
+  busy_connections_.erase(operation_id);
+  ++upstreams_[connection->server()].cooling_down;
+  // If the response came before the whole statement was sent, the next query would follow an incomplete
+  // message.
   if (connection->has_partial_messages()) {
     OnUnsolicitedData(connection);
   } else {
-    connection->RestBeforeReady();
+    connection->StartCooldown();
   }
   Finish(operation_id, std::move(outcome));
 }
 
-void UpstreamPool::OnFault(const UpstreamConnectionPtr& connection, ConnectionFault fault) {
-  switch (fault) {
-    case ConnectionFault::kConnectFailed:
+void UpstreamPool::OnFailure(const UpstreamConnectionPtr& connection, ConnectionFailure failure) {
+  switch (failure) {
+    case ConnectionFailure::kConnectFailed:
       return OnConnectFailed(connection, Status::kConnectFailed);
-    case ConnectionFault::kServerFull:
+    case ConnectionFailure::kServerAtConnectionLimit:
       return OnConnectFailed(connection, Status::kOverloaded);
-    case ConnectionFault::kBroken:
-      return OnBroken(connection);
-    case ConnectionFault::kMalformed:
-      return OnMalformed(connection);
-    case ConnectionFault::kUnsolicitedData:
+    case ConnectionFailure::kConnectionLost:
+      return OnConnectionLost(connection);
+    case ConnectionFailure::kProtocolViolation:
+      return OnProtocolViolation(connection);
+    case ConnectionFailure::kUnsolicitedData:
       return OnUnsolicitedData(connection);
-    case ConnectionFault::kStartTooLate:
-      return OnStartTooLate(connection);
-    case ConnectionFault::kValueNotWanted:
+    case ConnectionFailure::kStartDeadlineMissed:
+      return OnStartDeadlineMissed(connection);
+    case ConnectionFailure::kStreamRejected:
       return Close(connection);
   }
 }
@@ -157,27 +160,28 @@
   const ServerId server = connection->server();
   Close(connection);
   const Upstream& upstream = upstreams_[server];
-  while (pending_.Count(server) > upstream.upcoming()) {
-    Finish(pending_.TakeFirst(server).operation_id, Outcome{.status = status});
+  while (pending_operations_.Count(server) > upstream.becoming_ready()) {
+    Finish(pending_operations_.TakeFirst(server).operation_id, Outcome{.status = status});
   }
 }
 
-void UpstreamPool::OnBroken(const UpstreamConnectionPtr& connection) {
+void UpstreamPool::OnConnectionLost(const UpstreamConnectionPtr& connection) {
   if (connection->state() == State::kConnecting) return OnConnectFailed(connection, Status::kConnectFailed);
   if (connection->state() != State::kBusy) return Replace(connection);
   ++counters_.lost_while_busy;
   const OperationId operation_id = connection->operation_id();
-  // Without its last byte the server did not begin the statement.
+  // A server does not execute a statement before it has received the last byte.
   const Status status = connection->all_sent() ? Status::kReset : Status::kConnectFailed;
   Outcome outcome = connection->outcome().value_or(Outcome{.status = status});
   Replace(connection);
   Finish(operation_id, std::move(outcome));
 }
 
-// The statement may have run, as with an error response; for the server it counts as any other failure.
-void UpstreamPool::OnMalformed(const UpstreamConnectionPtr& connection) {
+// Reported like an error response: the statement may have been executed, and the server is charged with a
+// failure.
+void UpstreamPool::OnProtocolViolation(const UpstreamConnectionPtr& connection) {
   ++counters_.malformed;
-  if (connection->state() != State::kBusy) return OnBroken(connection);
+  if (connection->state() != State::kBusy) return OnConnectionLost(connection);
   const OperationId operation_id = connection->operation_id();
   Close(connection);
   Finish(operation_id, Outcome{.status = Status::kError});
@@ -188,7 +192,7 @@
   Replace(connection);
 }
 
-void UpstreamPool::OnStartTooLate(const UpstreamConnectionPtr& connection) {
+void UpstreamPool::OnStartDeadlineMissed(const UpstreamConnectionPtr& connection) {
   const OperationId operation_id = connection->operation_id();
   Replace(connection);
   Finish(operation_id, Outcome{.status = Status::kNotSent});
@@ -200,30 +204,30 @@
     case State::kConnecting:
       Remove(upstream.connecting, connection);
       break;
-    case State::kResting:
-      --upstream.resting;
+    case State::kCoolingDown:
+      --upstream.cooling_down;
       break;
     case State::kIdle:
       Remove(upstream.idle, connection);
       break;
     case State::kBusy:
-      busy_.erase(connection->operation_id());
+      busy_connections_.erase(connection->operation_id());
       break;
     case State::kClosed:
       return;
   }
   connection->Close();
-  --connections_;
+  --connection_count_;
 }
 
 void UpstreamPool::Replace(const UpstreamConnectionPtr& connection) {
   Close(connection);
-  OpenForPending(connection->server());
+  OpenConnectionsForPending(connection->server());
 }
 
 void UpstreamPool::Cancel(OperationId operation_id) {
-  const auto busy = busy_.find(operation_id);
-  if (busy == busy_.end()) return pending_.Remove(operation_id);
+  const auto busy = busy_connections_.find(operation_id);
+  if (busy == busy_connections_.end()) return pending_operations_.Remove(operation_id);
   ++counters_.cancelled;
   const UpstreamConnectionPtr connection = busy->second;
   Close(connection);
@@ -235,11 +239,12 @@
     upstream.endpoint = ToEndpoint(address);
   } catch (const std::exception& error) {
     upstream.endpoint.reset();
-    LogWarning("server_address_unusable", "a server has an unusable address: " + std::string(error.what()));
+    LogWarning("server_address_unusable",
+               "the address of a server cannot be used: " + std::string(error.what()));
   }
   CloseIdle(server);
   CloseConnecting(server);
-  if (upstream.endpoint) return OpenForPending(server);
+  if (upstream.endpoint) return OpenConnectionsForPending(server);
   FailPending(server);
 }
 
@@ -262,11 +267,11 @@
 
 void UpstreamPool::SetMaxConnections(std::size_t max_connections) {
   options_.max_connections = max_connections;
-  while (connections_ > max_connections && EvictIdle()) {
+  while (connection_count_ > max_connections && EvictLongestIdle()) {
   }
 }
 
-bool UpstreamPool::EvictIdle() {
+bool UpstreamPool::EvictLongestIdle() {
   UpstreamConnectionPtr oldest;
   for (const auto& [server, upstream] : upstreams_) {
     if (upstream.idle.empty()) continue;
@@ -284,7 +289,7 @@
 }
 
 void UpstreamPool::FailPending(ServerId server) {
-  for (const PendingOperation& operation : pending_.TakeAll(server)) {
+  for (const PendingOperation& operation : pending_operations_.TakeAll(server)) {
     Finish(operation.operation_id, Outcome{.status = Status::kConnectFailed});
   }
 }
@@ -297,15 +302,15 @@
 }
 
 void UpstreamPool::RunMaintenance() {
-  CloseExpired();
+  CloseExpiredIdle();
   CloseStalled();
-  EraseUnused();
+  EraseUnusedUpstreams();
 }
 
-void UpstreamPool::CloseExpired() {
+void UpstreamPool::CloseExpiredIdle() {
   for (auto& [server, upstream] : upstreams_) {
     while (!upstream.idle.empty() &&
-           upstream.idle.front()->idle_since() <= idle_policy_.OldestUsable(clock_.Now())) {
+           upstream.idle.front()->idle_since() <= idle_policy_.IdleSinceCutoff(clock_.Now())) {
       ++counters_.idle_closed;
       const UpstreamConnectionPtr expired = upstream.idle.front();
       Close(expired);
@@ -315,18 +320,19 @@
 
 void UpstreamPool::CloseStalled() {
   std::vector<UpstreamConnectionPtr> stalled;
-  for (const auto& [operation_id, connection] : busy_) {
+  for (const auto& [operation_id, connection] : busy_connections_) {
     if (connection->IsStalled()) stalled.push_back(connection);
   }
-  for (const UpstreamConnectionPtr& connection : stalled) OnBroken(connection);
+  for (const UpstreamConnectionPtr& connection : stalled) OnConnectionLost(connection);
 }
 
-// An operation that still runs at a server that was drained makes its entry anew, until it has ended.
-void UpstreamPool::EraseUnused() {
+// Also erases a removed server that still runs an operation: the end of the operation adds the entry again,
+// and a later call erases it.
+void UpstreamPool::EraseUnusedUpstreams() {
   std::erase_if(upstreams_, [this](const auto& entry) {
     const auto& [server, upstream] = entry;
-    return !upstream.endpoint && upstream.idle.empty() && upstream.upcoming() == 0 &&
-           pending_.Count(server) == 0;
+    return !upstream.endpoint && upstream.idle.empty() && upstream.becoming_ready() == 0 &&
+           pending_operations_.Count(server) == 0;
   });
 }
 
@@ -337,7 +343,7 @@
     CloseConnecting(server);
   }
   std::vector<UpstreamConnectionPtr> busy;
-  for (const auto& [operation_id, connection] : busy_) busy.push_back(connection);
+  for (const auto& [operation_id, connection] : busy_connections_) busy.push_back(connection);
   for (const UpstreamConnectionPtr& connection : busy) Close(connection);
 }
 
--- a/tests/upstream/cancellation_test.cpp
+++ b/tests/upstream/cancellation_test.cpp
@@ -1,5 +1,5 @@
-// Operations whose client leaves, or whose deadline passes. Each brings two events about in the order that is
-// not expected: see docs/design/crossings.md.
+// Tests operations whose client disconnects or whose deadline passes. Each test produces two events in the
+// less expected order; see docs/design/crossings.md.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -14,8 +14,8 @@
 namespace tulipyoke::net {
 namespace {
 
-// Guards against a statement that is sent to its end after its client has left.
-TEST_F(UpstreamPoolTest, AStatementIsCutOffWhenItsClientLeaves) {
+// Guards against sending the whole statement although its client has disconnected.
+TEST_F(UpstreamPoolTest, StopsSendingAStatementWhenItsClientDisconnects) {
   OpenIdleConnection();
   const std::string statement(std::size_t{64} << 20, 'x');
   const RequestId id = harness.Submit(statement);
@@ -26,8 +26,8 @@
   EXPECT_EQ(harness.attempt_outcomes(Status::kNotSent), 1u);
 }
 
-// Guards against a request that is sent in the iteration of the loop in which its client left.
-TEST_F(UpstreamPoolTest, ARequestWhoseClientLeavesInTheSameIterationIsNotSent) {
+// Guards against sending a request in the event loop iteration in which its client disconnected.
+TEST_F(UpstreamPoolTest, DoesNotSendARequestWhoseClientDisconnectsInTheSameIteration) {
   OpenIdleConnection();
   ClientRequest request;
   request.wait = 20'000'000;
@@ -41,8 +41,9 @@
   EXPECT_TRUE(harness.RunUntil([&] { return harness.IsServed(third); }));
 }
 
-// A statement that was sent completely and is not idempotent is finished: its outcome tells a commit.
-TEST_F(UpstreamPoolTest, ASentStatementIsFinishedThoughItsClientLeft) {
+// A completely sent statement that is not idempotent is not cancelled: its outcome shows whether it
+// committed.
+TEST_F(UpstreamPoolTest, CompletesASentStatementAfterItsClientDisconnects) {
   OpenIdleConnection();
   const RequestId id = harness.Submit("second");
   ASSERT_TRUE(harness.RunUntil([&] { return server.Received(0, "second"); }));
@@ -51,17 +52,17 @@
   EXPECT_TRUE(harness.RunUntil([&] { return harness.attempt_outcomes(Status::kOk) == 2; }));
 }
 
-Settings WithShortDeadline() {
+Settings ShortDeadlineSettings() {
   Settings settings = RouterHarness::SingleClassSettings(Idempotency::kNone);
   settings.classes[0].latency_objective = settings.classes[0].deadline = 300'000;
   return settings;
 }
 
-// Guards against an attempt that is reported as one that may have run though its connection never came up:
-// its client would be told that it failed, where a retry is safe.
-TEST(UpstreamPoolDeadline, AnOperationStillPendingAtTheDeadlineNeverRan) {
+// Guards against reporting an attempt as possibly executed although its connection was never established: the
+// client would be told that the statement failed, although a retry is safe.
+TEST(UpstreamPoolDeadline, AnOperationPendingAtTheDeadlineIsReportedAsNotExecuted) {
   ManualServer server;
-  RouterHarness harness(WithShortDeadline());
+  RouterHarness harness(ShortDeadlineSettings());
   harness.Start({RouterHarness::ListedServerAt("a", server.port())});
   const RequestId id = harness.Submit("statement", 300'000);
   ASSERT_TRUE(harness.RunUntil([&] { return server.Accept(); }));
@@ -70,29 +71,29 @@
   EXPECT_EQ(harness.attempt_outcomes(Status::kConnectFailed), 1u);
 }
 
-// Guards against a second answer, or none, where the response is ready when the deadline passes, whichever of
-// the two is handled first.
-TEST(UpstreamPoolDeadline, AResponseThatIsReadyAtTheDeadlineMakesOneAnswer) {
-  for (const bool answer_first : {true, false}) {
+// Guards against sending two responses, or none, if the server's response is ready when the deadline passes,
+// whichever of the two is handled first.
+TEST(UpstreamPoolDeadline, AResponseReadyAtTheDeadlineLeadsToExactlyOneResponse) {
+  for (const bool response_first : {true, false}) {
     ManualServer server;
-    RouterHarness harness(WithShortDeadline());
+    RouterHarness harness(ShortDeadlineSettings());
     harness.Start({RouterHarness::ListedServerAt("a", server.port())});
     const RequestId id = harness.Submit("statement", 300'000);
     ASSERT_TRUE(harness.RunUntil([&] { return server.Accept(); }));
     server.CompleteStartup(0);
     ASSERT_TRUE(harness.RunUntil([&] { return server.Received(0, "statement"); }));
     server.Send(0, Row("v"));
-    const auto over = std::chrono::steady_clock::now() + std::chrono::milliseconds(320);
-    while (std::chrono::steady_clock::now() < over) {
+    const auto deadline_passed = std::chrono::steady_clock::now() + std::chrono::milliseconds(320);
+    while (std::chrono::steady_clock::now() < deadline_passed) {
     }
     harness.clock.BeginIteration();
-    if (!answer_first) harness.RunTimers();
+    if (!response_first) harness.RunTimers();
     harness.RunUntilIdle();
-    EXPECT_EQ(harness.IsServed(id), answer_first);
+    EXPECT_EQ(harness.IsServed(id), response_first);
     const DispatchCounters& counters = harness.dispatcher.counters();
-    EXPECT_EQ(counters.served, answer_first ? 1u : 0u);
-    EXPECT_EQ(counters.rejected + counters.failed, answer_first ? 0u : 1u);
-    EXPECT_EQ(harness.pool.connections(), answer_first ? 1u : 0u);
+    EXPECT_EQ(counters.served, response_first ? 1u : 0u);
+    EXPECT_EQ(counters.rejected + counters.failed, response_first ? 0u : 1u);
+    EXPECT_EQ(harness.pool.connections(), response_first ? 1u : 0u);
   }
 }
 
--- a/tests/upstream/faulty_server_test.cpp
+++ b/tests/upstream/faulty_server_test.cpp
@@ -1,5 +1,5 @@
-// Responses that are malformed, never end, or are errors. Each brings two events about in the order that is
-// not expected: see docs/design/crossings.md.
+// Tests responses that are malformed, endless, or errors. Each test produces two events in the less expected
+// order; see docs/design/crossings.md.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -12,8 +12,8 @@
 namespace tulipyoke::net {
 namespace {
 
-// Guards against a response without end that keeps its request open, or fills the memory.
-TEST(UpstreamPoolMalformed, AResponseThatNeverEndsTimesOut) {
+// Guards against an endless response that keeps its request open or exhausts the memory.
+TEST(UpstreamPoolMalformed, AnEndlessResponseTimesOut) {
   Settings settings = RouterHarness::SingleClassSettings(Idempotency::kIdempotent);
   settings.classes[0].latency_objective = 300'000;
   ManualServer server;
@@ -23,19 +23,19 @@
   ASSERT_TRUE(harness.RunUntil([&] { return server.Accept(); }));
   server.CompleteStartup(0);
   ASSERT_TRUE(harness.RunUntil([&] { return server.Received(0, "statement"); }));
-  std::string more;
-  pg::AppendParameterStatus(more, "more", std::string(1000, 'x'));
+  std::string extra_data;
+  pg::AppendParameterStatus(extra_data, "more", std::string(1000, 'x'));
   ASSERT_TRUE(harness.RunUntil([&] {
-    server.Send(0, more);
+    server.Send(0, extra_data);
     return harness.responses.contains(id);
   }));
   EXPECT_TRUE(std::holds_alternative<RejectedResponse>(harness.responses.at(id)));
   EXPECT_EQ(harness.pool.connections(), 0u);
 }
 
-// Guards against a valid response that follows a malformed one and is taken for the next query's, and against
-// two attempts at once: the malformed one's connection is closed before the next server hears anything.
-TEST(UpstreamPoolMalformed, AResponseBehindAMalformedOneIsIgnored) {
+// Guards against taking a valid response that follows a malformed one for that of the next query, and against
+// two concurrent attempts: the first connection is closed before the next server receives anything.
+TEST(UpstreamPoolMalformed, AResponseAfterAMalformedOneIsIgnored) {
   ManualServer first, second;
   RouterHarness harness(RouterHarness::SingleClassSettings(Idempotency::kIdempotent));
   harness.Start({RouterHarness::ListedServerAt("a", first.port())});
@@ -48,7 +48,7 @@
   pg::AppendMessage(malformed, 'W', "no such message");
   first.Send(0, malformed + Row("not asked for"));
   ASSERT_TRUE(harness.RunUntil([&] { return second.Accept(); }));
-  EXPECT_TRUE(first.ReadAvailable(0));  // not a turn later
+  EXPECT_TRUE(first.ReadAvailable(0));  // in the same event loop iteration
   second.CompleteStartup(0);
   ASSERT_TRUE(harness.RunUntil([&] { return second.Received(0, "statement"); }));
   second.Send(0, Row("v"));
@@ -57,8 +57,8 @@
   EXPECT_EQ(harness.attempt_outcomes(Status::kError), 1u);
 }
 
-// Guards against one attempt more than the settings allow, where each fails and another server is available.
-TEST(UpstreamPoolRetries, TheLastAllowedAttemptIsTheLast) {
+// Guards against one attempt more than max_attempts if each attempt fails and another server is available.
+TEST(UpstreamPoolRetries, DoesNotExceedMaxAttempts) {
   Settings settings = RouterHarness::SingleClassSettings(Idempotency::kIdempotent);
   settings.max_attempts = 2;
   ManualServer servers[3];
--- a/tests/upstream/idle_connections_test.cpp
+++ b/tests/upstream/idle_connections_test.cpp
@@ -1,4 +1,4 @@
-// Idle connections that are too old to be used.
+// Tests that connections are not used once they have been idle for too long.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -12,19 +12,19 @@
 
 constexpr Micros kNow = 1'000'000'000;
 
-TEST(IdlePolicy, AConnectionIsUsableForAPartOfTheServersTimeout) {
-  EXPECT_EQ(IdlePolicy(30'000'000).OldestUsable(kNow), kNow - 18'000'000);
-  EXPECT_EQ(IdlePolicy(0).OldestUsable(kNow), kNow);
+TEST(IdlePolicy, AConnectionIsUsableForAFractionOfTheServerTimeout) {
+  EXPECT_EQ(IdlePolicy(30'000'000).IdleSinceCutoff(kNow), kNow - 18'000'000);
+  EXPECT_EQ(IdlePolicy(0).IdleSinceCutoff(kNow), kNow);
 }
 
-TEST(IdlePolicy, ChecksAreNeitherTooRareNorTooFrequent) {
+TEST(IdlePolicy, TheCheckIntervalIsBounded) {
   EXPECT_EQ(IdlePolicy(30'000'000).CheckInterval(), 500'000);
   EXPECT_EQ(IdlePolicy(1'000'000).CheckInterval(), 200'000);
   EXPECT_EQ(IdlePolicy(10).CheckInterval(), 10'000);
 }
 
-// Guards against maintenance that runs less often than connections expire: the one that is selected may have
-// expired, and its close crosses the query.
+// Guards against using a connection that expired since the last maintenance run: the server may close it
+// while the query is sent.
 TEST(UpstreamPoolIdle, AnExpiredConnectionIsNotUsed) {
   ManualServer server;
   RouterHarness harness(RouterHarness::SingleClassSettings(Idempotency::kNone), 10);
@@ -35,8 +35,8 @@
   ASSERT_TRUE(harness.RunUntil([&] { return server.Received(0, "first"); }));
   server.Send(0, Row("v"));
   ASSERT_TRUE(harness.RunUntil([&] { return harness.IsServed(first); }));
-  const Micros then = harness.clock.Now();
-  harness.RunUntil([&] { return harness.clock.Now() > then + 10'000; });
+  const Micros served_at = harness.clock.Now();
+  harness.RunUntil([&] { return harness.clock.Now() > served_at + 10'000; });
   harness.Submit("second");
   ASSERT_TRUE(harness.RunUntil([&] { return server.Accept(); }));
   server.CompleteStartup(1);
--- a/tests/upstream/upstream_connection_test.cpp
+++ b/tests/upstream/upstream_connection_test.cpp
@@ -1,5 +1,5 @@
-// What was written when a connection ends, or the response comes early. Each brings two events about in the
-// order that is not expected: see docs/design/crossings.md.
+// Tests how much of a statement counts as sent when its connection ends or its response comes early. Each
+// test produces two events in the less expected order; see docs/design/crossings.md.
 #include <gtest/gtest.h>
 #include <poll.h>
 #include <sys/socket.h>
@@ -15,11 +15,11 @@
 namespace tulipyoke::net {
 namespace {
 
-// Guards against a query that is sent on a connection which has ended, and then reported as never sent since
+// Guards against sending a query on a connection that has ended and then reporting it as never sent because
 // the end is handled before the write: a statement that is not idempotent would run twice.
-TEST_F(UpstreamPoolTest, AConnectionThatEndsAsItIsPickedTakesNoQuery) {
+TEST_F(UpstreamPoolTest, DoesNotSendAQueryOnAConnectionThatHasEnded) {
   OpenIdleConnection();
-  server.sockets[0].shutdown(tcp::socket::shutdown_send);  // it goes on reading, and would run what comes
+  server.sockets[0].shutdown(tcp::socket::shutdown_send);  // it still reads, and would execute a statement
   harness.AwaitSocketEvents();
   const RequestId id = harness.Submit("second");
   ServeOn(server, 1, "second", id);
@@ -28,8 +28,8 @@
   EXPECT_EQ(harness.attempt_outcomes(Status::kConnectFailed), 0u);
 }
 
-// Guards against the same where the loop has not been notified of the end yet.
-TEST_F(UpstreamPoolTest, AConnectionWhoseEndIsUnreadTakesNoQuery) {
+// Guards against the same failure if the event loop has not been notified of the end yet.
+TEST_F(UpstreamPoolTest, DoesNotSendAQueryOnAConnectionWithAnUnreadEnd) {
   OpenIdleConnection();
   server.sockets[0].shutdown(tcp::socket::shutdown_send);
   const RequestId id = harness.Submit("second");
@@ -38,22 +38,22 @@
   EXPECT_EQ(server.received[0].find("second"), std::string::npos);
 }
 
-// The descriptor of this process's socket that is connected to `socket`; none: there is none.
-std::optional<int> PeerDescriptorOf(const tcp::socket& socket) {
-  const tcp::endpoint wanted = socket.remote_endpoint();
+// Returns the descriptor of the socket in this process that is connected to `socket`, or none.
+std::optional<int> FindPeerDescriptor(const tcp::socket& socket) {
+  const tcp::endpoint remote_name = socket.remote_endpoint();
   for (int fd = 3; fd < 1024; ++fd) {
     tcp::endpoint name;
     auto size = static_cast<socklen_t>(name.capacity());
-    if (::getsockname(fd, name.data(), &size) == 0 && name == wanted) return fd;
+    if (::getsockname(fd, name.data(), &size) == 0 && name == remote_name) return fd;
   }
   return std::nullopt;
 }
 
-// Guards against an end that is handled before the handler that would have reported the last byte as sent:
-// the attempt has run, and was reported as one that did not. The rest of a statement is sent in several
-// pieces once the socket has room, and the end is handled behind the first of them.
-TEST(UpstreamConnection, AnEndBehindTheLastByteIsAnAttemptThatMayHaveRun) {
-  std::size_t size = std::size_t{64} << 20;  // more than fits
+// Guards against handling the end of the connection before the handler that reports the last byte as sent: an
+// attempt that had run was reported as not executed. The remainder of a statement is sent in several parts
+// once the socket buffer has space, and the end is handled after the first of them.
+TEST(UpstreamConnection, AnAttemptMayHaveRunIfTheConnectionEndsAfterTheLastByte) {
+  std::size_t size = std::size_t{64} << 20;  // more than the socket buffers hold
   for (int round = 0; round < 8; ++round) {
     ManualServer server;
     RouterHarness harness;
@@ -63,32 +63,32 @@
     server.CompleteStartup(0);
     ASSERT_TRUE(
         harness.RunUntil([&] { return harness.pool.connections() == 1 && server.Received(0, "ledger"); }));
-    const std::optional<int> sender = PeerDescriptorOf(server.sockets[0]);
+    const std::optional<int> sender = FindPeerDescriptor(server.sockets[0]);
     ASSERT_TRUE(sender);
-    ASSERT_TRUE(harness.RunUntil([&] {  // it is full
-      pollfd look{*sender, POLLOUT, 0};
-      return ::poll(&look, 1, 0) == 0;
+    ASSERT_TRUE(harness.RunUntil([&] {  // until the send buffer is full
+      pollfd poll_entry{*sender, POLLOUT, 0};
+      return ::poll(&poll_entry, 1, 0) == 0;
     }));
     harness.RunUntilIdle();
-    pollfd look{*sender, POLLOUT, 0};
-    while (::poll(&look, 1, 1) == 0) server.ReadAvailable(0);
-    const std::size_t most = server.received[0].size();
-    if (size > most + (std::size_t{1} << 20)) {
-      size = most + 96'000;
+    pollfd poll_entry{*sender, POLLOUT, 0};
+    while (::poll(&poll_entry, 1, 1) == 0) server.ReadAvailable(0);
+    const std::size_t bytes_sent = server.received[0].size();
+    if (size > bytes_sent + (std::size_t{1} << 20)) {
+      size = bytes_sent + 96'000;
       continue;
     }
     server.sockets[0].shutdown(tcp::socket::shutdown_send);
     harness.RunUntil([&] { return server.ReadAvailable(0) || harness.responses.contains(id); });
     server.ReadAvailable(0);
-    // What arrived whole has run, for all that is known.
+    // A statement that arrived completely may have been executed.
     ASSERT_GT(server.received[0].size(), size);
     EXPECT_EQ(harness.attempt_outcomes(Status::kReset), 1u);
     EXPECT_EQ(harness.attempt_outcomes(Status::kConnectFailed), 0u);
   }
 }
 
-// Guards against the next query's bytes behind half of another: the server responded before it had read all.
-TEST_F(UpstreamPoolTest, AResponseBeforeTheStatementIsSentClosesTheConnection) {
+// Guards against sending the next query after an incomplete one, to which the server responded early.
+TEST_F(UpstreamPoolTest, AResponseToAPartlySentStatementClosesTheConnection) {
   OpenIdleConnection();
   const RequestId id = harness.Submit(std::string(std::size_t{64} << 20, 'x'));
   harness.RunUntilIdle();
@@ -102,9 +102,10 @@
   EXPECT_LT(server.received[0].size(), std::size_t{64} << 20);
 }
 
-// Guards against a retry that began within the window in which servers drop it, and is completed after it:
-// servers begin with the last byte, so that it would run a second time.
-TEST(UpstreamConnection, ARetryWhoseLastByteWouldBeTooLateIsNotSentToItsEnd) {
+// Guards against completing a retry after the window in which servers recognize and drop it, although it
+// began within that window: servers execute a statement when its last byte arrives, so it would run a second
+// time.
+TEST(UpstreamConnection, DoesNotCompleteARetryAfterItsLatestStart) {
   Settings settings = RouterHarness::SingleClassSettings(Idempotency::kWithKey);
   settings.classes[0].retry_window = 400'000;
   ManualServer first, second;
@@ -115,7 +116,7 @@
   ASSERT_TRUE(harness.RunUntil([&] { return first.Accept(); }));
   first.CompleteStartup(0);
   ASSERT_TRUE(harness.RunUntil([&] { return first.Received(0, "xxx"); }));
-  const Micros window_over = harness.clock.Now() + 400'000;
+  const Micros window_end = harness.clock.Now() + 400'000;
   harness.UpdateServer(RouterHarness::ListedServerAt("b", second.port()));
   std::string error;
   pg::AppendError(error, "ERROR", "XX000", "it may have run");
@@ -124,7 +125,7 @@
   ASSERT_TRUE(harness.RunUntil([&] { return second.Accept(); }));
   second.CompleteStartup(0);
   ASSERT_TRUE(harness.RunUntil([&] { return second.Received(0, "xxx"); }));
-  ASSERT_TRUE(harness.RunUntil([&] { return harness.clock.Now() > window_over; }));
+  ASSERT_TRUE(harness.RunUntil([&] { return harness.clock.Now() > window_end; }));
   EXPECT_TRUE(harness.RunUntil(
       [&] { return second.ReadAvailable(0) || second.received[0].size() > statement.size(); }));
   EXPECT_LT(second.received[0].size(), statement.size());
--- a/tests/upstream/upstream_pool_fixture.hpp
+++ b/tests/upstream/upstream_pool_fixture.hpp
@@ -1,4 +1,5 @@
-// A pool with one scripted server, for tests that bring about two events in a chosen order.
+// A fixture with a pool and a server that the test controls, for tests that produce two events in a chosen
+// order.
 #ifndef TULIPYOKE_TESTS_UPSTREAM_UPSTREAM_POOL_FIXTURE_HPP_
 #define TULIPYOKE_TESTS_UPSTREAM_UPSTREAM_POOL_FIXTURE_HPP_
 
@@ -14,7 +15,7 @@
 
 class UpstreamPoolTest : public testing::Test {
  protected:
-  // Leaves one idle connection, on which one request has been served.
+  // Opens a connection, serves one request on it and leaves it idle.
   void OpenIdleConnection() {
     harness.Start({RouterHarness::ListedServerAt("a", server.port())});
     const RequestId id = harness.Submit("first");
@@ -23,25 +24,26 @@
     ASSERT_TRUE(harness.RunUntil([&] { return server.Received(0, "first"); }));
     server.Send(0, Row("v"));
     ASSERT_TRUE(harness.RunUntil([&] { return harness.IsServed(id); }));
-    const Micros then = harness.clock.Now();
-    harness.RunUntil([&] { return harness.clock.Now() > then + 10'000; });
+    const Micros served_at = harness.clock.Now();
+    harness.RunUntil([&] { return harness.clock.Now() > served_at + 10'000; });
     harness.RunUntilIdle();
   }
-  // Serves the statement on the next connection that the server accepts; `which` is its number, from 0.
-  void ServeOn(ManualServer& at, std::size_t which, const std::string& statement, RequestId id) {
-    ASSERT_TRUE(harness.RunUntil([&] { return at.Accept(); }));
-    at.CompleteStartup(which);
-    ASSERT_TRUE(harness.RunUntil([&] { return at.Received(which, statement); }));
-    at.Send(which, Row("v"));
+  // Serves the statement on the next connection that the server accepts; `connection` is its number, from 0.
+  void ServeOn(ManualServer& target, std::size_t connection, const std::string& statement, RequestId id) {
+    ASSERT_TRUE(harness.RunUntil([&] { return target.Accept(); }));
+    target.CompleteStartup(connection);
+    ASSERT_TRUE(harness.RunUntil([&] { return target.Received(connection, statement); }));
+    target.Send(connection, Row("v"));
     EXPECT_TRUE(harness.RunUntil([&] { return harness.IsServed(id); }));
   }
-  // Expects that the connection has ended, and that the statement never came on it.
-  void ExpectEndedWithout(std::size_t which, const std::string& statement) {
-    EXPECT_TRUE(harness.RunUntil([&] { return server.ReadAvailable(which); }));
-    EXPECT_EQ(server.received[which].find(statement), std::string::npos);
+  // Expects that the connection is closed without the statement having been received on it.
+  void ExpectClosedWithoutReceiving(std::size_t connection, const std::string& statement) {
+    EXPECT_TRUE(harness.RunUntil([&] { return server.ReadAvailable(connection); }));
+    EXPECT_EQ(server.received[connection].find(statement), std::string::npos);
   }
-  // A statement waits for its connection when that complete list comes: the other server alone serves it.
-  void ExpectServedElsewhereAfter(const std::vector<ListedServer>& list, ManualServer& other) {
+  // Applies the complete endpoint list while a statement waits for its connection, and expects that only the
+  // other server receives the statement.
+  void ExpectServedByOtherServerAfter(const std::vector<ListedServer>& list, ManualServer& other) {
     harness.Start({RouterHarness::ListedServerAt("a", server.port())});
     const RequestId id = harness.Submit("statement");
     ASSERT_TRUE(harness.RunUntil([&] { return server.Accept(); }));
@@ -49,7 +51,7 @@
     harness.RunTimers();
     server.CompleteStartup(0);  // late
     ServeOn(other, 0, "statement", id);
-    ExpectEndedWithout(0, "statement");
+    ExpectClosedWithoutReceiving(0, "statement");
   }
 
   ManualServer server;
