--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -15,22 +15,23 @@
 
 using Local = asio::local::stream_protocol;
 
-// Connections that the kernel keeps until they are accepted.
+// The number of connections that the kernel queues until they are accepted.
 constexpr int kListenBacklog = 4;
 
 }  // namespace
 
-HotRestart::HotRestart(asio::io_context& io, const std::string& folder, const std::string& name,
-                       std::uint64_t seed, HotRestartCallbacks events)
-    : io_(io), events_(std::move(events)), acceptor_(io) {
-  if (folder.empty()) return;
-  paths_ = MakeSocketPaths(folder, name, seed);
+HotRestart::HotRestart(asio::io_context& io, const std::string& directory, const std::string& name,
+                       std::uint64_t seed, HotRestartCallbacks callbacks)
+    : io_(io), callbacks_(std::move(callbacks)), acceptor_(io) {
+  if (directory.empty()) return;
+  paths_ = MakeSocketPaths(directory, name, seed);
   if (paths_) return;
-  LogWarning("upgrade_not_possible",
-             "no upgrade beside a running process: the folder's name is too long for a socket: " + folder);
+  LogWarning(
+      "upgrade_not_possible",
+      "hot restart is not possible: the path of a Unix socket in this directory is too long: " + directory);
 }
 
-// The connections' events use this object.
+// Closes the connections, since their callbacks refer to this object.
 HotRestart::~HotRestart() {
   for (Peer* peer : {&older_, &newer_}) {
     if (peer->connection) peer->connection->Close();
@@ -39,34 +40,35 @@
 
 bool HotRestart::ConnectToOlderProcess() {
   if (!paths_) return false;
-  // Non-blocking: a file that nobody listens on, or a process that hangs, is no peer.
+  // Non-blocking, so that a socket file without a listener, or a process that hangs, counts as no peer.
   Socket socket(io_);
   std::error_code error;
   socket.open({}, error);
   if (!error) socket.non_blocking(true, error);
   if (!error) socket.connect(Local::endpoint(paths_->shared), error);
   if (error) return false;
-  Add(PeerProcess::kOlder, std::move(socket));
+  AddPeer(PeerProcess::kOlder, std::move(socket));
   SendStep(PeerProcess::kOlder, HotRestartStep::kHello);
   return has_peer(PeerProcess::kOlder);
 }
 
-// The socket is made under a path of its own and renamed: this replaces the file of the older process, or of
-// one that is gone, atomically.
+// Binds the socket to a temporary path and renames it: this atomically replaces the socket file of the older
+// process, or of one that has exited.
 void HotRestart::ListenForNewerProcess() {
   if (!paths_ || acceptor_.is_open()) return;
-  const char* const unpublished = paths_->unpublished.c_str();
+  const char* const temporary = paths_->temporary.c_str();
   std::error_code error;
-  ::unlink(unpublished);
+  ::unlink(temporary);
   acceptor_.open({}, error);
-  if (!error) acceptor_.bind(Local::endpoint(paths_->unpublished), error);
+  if (!error) acceptor_.bind(Local::endpoint(paths_->temporary), error);
   if (!error) acceptor_.listen(kListenBacklog, error);
-  if (!error && std::rename(unpublished, paths_->shared.c_str()) != 0) {
+  if (!error && std::rename(temporary, paths_->shared.c_str()) != 0) {
     error = std::error_code(errno, std::generic_category());
   }
   if (!error) return Accept();
-  LogWarning("upgrade_not_possible", "a newer process will not find this one: " + error.message());
-  ::unlink(unpublished);
+  LogWarning("upgrade_not_possible",
+             "hot restart is not possible: cannot listen for a newer process: " + error.message());
+  ::unlink(temporary);
   std::error_code ignored;
   acceptor_.close(ignored);
 }
@@ -75,19 +77,19 @@
   acceptor_.async_accept([this](std::error_code error, Socket socket) {
     if (error == asio::error::operation_aborted || !acceptor_.is_open()) return;
     if (error) return Accept();
-    // One that is still connected never came to serve: it would have replaced the path that this one is
-    // found by.
+    // A newer process that is still connected never started to serve: otherwise its socket file would have
+    // replaced that of this process.
     Disconnect(PeerProcess::kNewer);
-    Add(PeerProcess::kNewer, std::move(socket));
+    AddPeer(PeerProcess::kNewer, std::move(socket));
     Accept();
   });
 }
 
-void HotRestart::Add(PeerProcess peer, Socket socket) {
-  PeerConnection::Events events{[this, peer](std::string_view line) { OnLine(peer, line); },
-                                [this, peer] { OnClosed(peer); }};
-  const auto connection = std::make_shared<PeerConnection>(std::move(socket), std::move(events));
-  Of(peer) = {connection};
+void HotRestart::AddPeer(PeerProcess peer, Socket socket) {
+  PeerConnection::Callbacks callbacks{[this, peer](std::string_view line) { OnLine(peer, line); },
+                                      [this, peer] { OnClosed(peer); }};
+  const auto connection = std::make_shared<PeerConnection>(std::move(socket), std::move(callbacks));
+  GetPeer(peer) = {connection};
   connection->Start();
 }
 
@@ -95,21 +97,22 @@
   const std::optional<HotRestartMessage> message = ParseHotRestartMessage(line);
   if (!message) return Disconnect(peer);
   if (const auto* step = std::get_if<HotRestartStep>(&*message)) {
-    if (*step == HotRestartStep::kDone) Of(peer).done = true;
-    return events_.step(peer, *step);
+    if (*step == HotRestartStep::kDone) GetPeer(peer).done = true;
+    return callbacks_.on_step(peer, *step);
   }
-  if (const auto* usage = std::get_if<DescriptorUsage>(&*message)) return events_.descriptor_usage(*usage);
-  if (const auto* session = std::get_if<SessionUpdate>(&*message)) events_.session(*session);
-  if (const auto* server = std::get_if<ServerUpdate>(&*message)) events_.server(*server);
-  // With a process on either side, each must learn what the other one replicates.
+  if (const auto* usage = std::get_if<DescriptorUsage>(&*message))
+    return callbacks_.on_descriptor_usage(*usage);
+  if (const auto* session = std::get_if<SessionUpdate>(&*message)) callbacks_.on_session(*session);
+  if (const auto* server = std::get_if<ServerUpdate>(&*message)) callbacks_.on_server(*server);
+  // Forwards the update, so that an older and a newer peer of this process also receive each other's updates.
   const PeerProcess other = peer == PeerProcess::kOlder ? PeerProcess::kNewer : PeerProcess::kOlder;
   Send(other, ToLine(*message));
 }
 
 void HotRestart::OnClosed(PeerProcess peer) {
-  const bool done = Of(peer).done;
-  Of(peer) = {};
-  events_.disconnected(peer, done ? DisconnectReason::kFinished : DisconnectReason::kLost);
+  const bool done = GetPeer(peer).done;
+  GetPeer(peer) = {};
+  callbacks_.on_disconnected(peer, done ? DisconnectReason::kFinished : DisconnectReason::kLost);
 }
 
 void HotRestart::Broadcast(const HotRestartMessage& message) {
@@ -119,7 +122,7 @@
 }
 
 void HotRestart::Send(PeerProcess peer, const std::string& line) {
-  const std::shared_ptr<PeerConnection> connection = Of(peer).connection;
+  const std::shared_ptr<PeerConnection> connection = GetPeer(peer).connection;
   if (connection) connection->Send(line);
 }
 
@@ -130,7 +133,7 @@
 }
 
 void HotRestart::Disconnect(PeerProcess peer) {
-  const std::shared_ptr<PeerConnection> connection = Of(peer).connection;
+  const std::shared_ptr<PeerConnection> connection = GetPeer(peer).connection;
   if (connection) connection->Disconnect();
 }
 
@@ -139,8 +142,8 @@
   acceptor_.close(ignored);
   for (const PeerProcess peer : {PeerProcess::kOlder, PeerProcess::kNewer}) {
     SendStep(peer, HotRestartStep::kDone);
-    if (Of(peer).connection) Of(peer).connection->Close();
-    Of(peer) = {};
+    if (GetPeer(peer).connection) GetPeer(peer).connection->Close();
+    GetPeer(peer) = {};
   }
 }
 
--- a/src/hot_restart/message.cpp
+++ b/src/hot_restart/message.cpp
@@ -9,34 +9,34 @@
 namespace tulipyoke::net {
 namespace {
 
-// In the order of HotRestartStep.
-constexpr std::array<std::string_view, 4> kStepTexts = {"hello", "synced", "serving", "done"};
+// Indexed by HotRestartStep.
+constexpr std::array<std::string_view, 4> kStepNames = {"hello", "synced", "serving", "done"};
 
-// The first fields of the other lines.
+// The first field of each other kind of message.
 constexpr std::string_view kDescriptorsKind = "holds";
 constexpr std::string_view kSessionKind = "session";
 constexpr std::string_view kServerKind = "server";
 
-// Removes the field up to the next space, and that space, from the front of `rest`.
-std::string_view TakeField(std::string_view& rest) {
-  const std::size_t end = std::min(rest.find(' '), rest.size());
-  const std::string_view field = rest.substr(0, end);
-  rest.remove_prefix(std::min(end + 1, rest.size()));
+// Removes the first field, and the space after it, from `remaining` and returns the field.
+std::string_view TakeField(std::string_view& remaining) {
+  const std::size_t end = std::min(remaining.find(' '), remaining.size());
+  const std::string_view field = remaining.substr(0, end);
+  remaining.remove_prefix(std::min(end + 1, remaining.size()));
   return field;
 }
 
-// Whether the next field of `rest` is a number that fits; it is removed in any case.
+// Removes the first field of `remaining`. Returns whether it is a number that fits into `number`.
 template <typename Number>
-bool TakeNumber(std::string_view& rest, Number& number) {
-  const std::string_view field = TakeField(rest);
+bool TakeNumber(std::string_view& remaining, Number& number) {
+  const std::string_view field = TakeField(remaining);
   const char* const field_end = field.data() + field.size();
   const auto [end, error] = std::from_chars(field.data(), field_end, number);
   return error == std::errc() && end == field_end;
 }
 
-struct TextOf {
+struct MessageFormatter {
   std::string operator()(HotRestartStep step) const {
-    return std::string(kStepTexts[static_cast<std::size_t>(step)]);
+    return std::string(kStepNames[static_cast<std::size_t>(step)]);
   }
   std::string operator()(const DescriptorUsage& usage) const {
     return std::string(kDescriptorsKind) + " " + std::to_string(usage.descriptors);
@@ -52,45 +52,47 @@
 };
 
 std::optional<HotRestartStep> ParseStep(std::string_view line) {
-  const auto found = std::find(kStepTexts.begin(), kStepTexts.end(), line);
-  if (found == kStepTexts.end()) return std::nullopt;
-  return static_cast<HotRestartStep>(found - kStepTexts.begin());
+  const auto found = std::find(kStepNames.begin(), kStepNames.end(), line);
+  if (found == kStepNames.end()) return std::nullopt;
+  return static_cast<HotRestartStep>(found - kStepNames.begin());
 }
 
-// The parsers below are given what follows the first field.
+// The parsers below receive the part of the line after the first field.
 
-std::optional<HotRestartMessage> ParseDescriptorUsage(std::string_view rest) {
+std::optional<HotRestartMessage> ParseDescriptorUsage(std::string_view remaining) {
   DescriptorUsage usage;
-  if (!TakeNumber(rest, usage.descriptors)) return std::nullopt;
-  if (!rest.empty() || usage.descriptors < 0) return std::nullopt;
+  if (!TakeNumber(remaining, usage.descriptors)) return std::nullopt;
+  if (!remaining.empty() || usage.descriptors < 0) return std::nullopt;
   return usage;
 }
 
-std::optional<HotRestartMessage> ParseSession(std::string_view rest) {
+std::optional<HotRestartMessage> ParseSession(std::string_view remaining) {
   SessionUpdate session;
-  if (!TakeNumber(rest, session.key)) return std::nullopt;
-  if (!TakeNumber(rest, session.group)) return std::nullopt;
-  if (!TakeNumber(rest, session.commit_unix_ms)) return std::nullopt;
-  if (!rest.empty()) return std::nullopt;
+  if (!TakeNumber(remaining, session.key)) return std::nullopt;
+  if (!TakeNumber(remaining, session.group)) return std::nullopt;
+  if (!TakeNumber(remaining, session.commit_unix_ms)) return std::nullopt;
+  if (!remaining.empty()) return std::nullopt;
   return session;
 }
 
-std::optional<HotRestartMessage> ParseServer(std::string_view rest) {
+std::optional<HotRestartMessage> ParseServer(std::string_view remaining) {
   ServerUpdate server;
   int role = 0;
-  if (!TakeNumber(rest, role)) return std::nullopt;
-  if (!TakeNumber(rest, server.role_time)) return std::nullopt;
-  if (!TakeNumber(rest, server.position_unix_ms)) return std::nullopt;
+  if (!TakeNumber(remaining, role)) return std::nullopt;
+  if (!TakeNumber(remaining, server.role_time)) return std::nullopt;
+  if (!TakeNumber(remaining, server.position_unix_ms)) return std::nullopt;
   if (role < 0 || role > static_cast<int>(Role::kReplica)) return std::nullopt;
-  if (rest.empty()) return std::nullopt;
+  if (remaining.empty()) return std::nullopt;
   server.role = static_cast<Role>(role);
-  server.id = rest;  // all of it: an id may hold spaces
+  server.id = remaining;  // the whole remainder, since an id may contain spaces
   return server;
 }
 
 }  // namespace
 
-std::string ToLine(const HotRestartMessage& message) { return std::visit(TextOf(), message) + "\n"; }
+std::string ToLine(const HotRestartMessage& message) {
+  return std::visit(MessageFormatter(), message) + "\n";
+}
 
 std::optional<HotRestartMessage> ParseHotRestartMessage(std::string_view line) {
   if (const std::optional<HotRestartStep> step = ParseStep(line)) return *step;
--- a/src/hot_restart/message.hpp
+++ b/src/hot_restart/message.hpp
@@ -1,6 +1,6 @@
-// The protocol of a hot restart: the messages that the two processes of one router send each other, and their
-// text, one message per line. An older and a newer version of the program must understand each other in both
-// directions: the text of a message never changes.
+// The hot restart protocol: the messages that two processes of one router send each other, as text with one
+// message per line. An older and a newer version of the program must understand each other in both
+// directions, so the text of a message must never change.
 #ifndef TULIPYOKE_SRC_HOT_RESTART_MESSAGE_HPP_
 #define TULIPYOKE_SRC_HOT_RESTART_MESSAGE_HPP_
 
@@ -13,25 +13,25 @@
 
 namespace tulipyoke::net {
 
-// What the sender has reached.
+// The progress of the sender.
 enum class HotRestartStep {
   kHello,    // the newer process has connected
-  kSynced,   // the older one has reduced its quota and has sent all state
-  kServing,  // the newer one takes the clients from now on
-  kDone,     // the sender ends, with all requests that it took answered
+  kSynced,   // the older process has reduced its quota and sent all its state
+  kServing,  // the newer process accepts the clients from now on
+  kDone,     // the sender exits and has answered all requests that it accepted
 };
 
-// The most descriptors that the sender uses from now on.
+// The maximum number of file descriptors that the sender uses from now on.
 struct DescriptorUsage {
   int descriptors = 0;
 };
 
 using HotRestartMessage = std::variant<HotRestartStep, DescriptorUsage, SessionUpdate, ServerUpdate>;
 
-// The message as one line, with its end.
+// Returns the message as one line, including the newline.
 std::string ToLine(const HotRestartMessage& message);
 
-// `line` is without its end. None where it is not a message of this protocol.
+// `line` has no newline. Returns none if it is not a valid message.
 std::optional<HotRestartMessage> ParseHotRestartMessage(std::string_view line);
 
 }  // namespace tulipyoke::net
--- a/src/hot_restart/peer_connection.cpp
+++ b/src/hot_restart/peer_connection.cpp
@@ -12,19 +12,19 @@
 namespace tulipyoke::net {
 namespace {
 
-// Bytes. No line is longer; a peer that sends more speaks another protocol.
-constexpr std::size_t kLongestLine = 4096;
-// Bytes that a peer may leave unread; one with more hangs.
-constexpr std::size_t kMostUnread = std::size_t{8} << 20;
-// Bytes per read.
+// In bytes. A peer that sends a longer line does not use this protocol.
+constexpr std::size_t kMaxLineLength = 4096;
+// In bytes. If more output than this is queued, the peer has stopped reading.
+constexpr std::size_t kMaxUnsentBytes = std::size_t{8} << 20;
+// In bytes.
 constexpr std::size_t kReadBufferSize = 16384;
 
 bool WouldBlock() { return errno == EAGAIN || errno == EWOULDBLOCK; }
 
 }  // namespace
 
-PeerConnection::PeerConnection(Socket socket, Events events)
-    : socket_(std::move(socket)), events_(std::move(events)) {
+PeerConnection::PeerConnection(Socket socket, Callbacks callbacks)
+    : socket_(std::move(socket)), callbacks_(std::move(callbacks)) {
   std::error_code ignored;
   socket_.non_blocking(true, ignored);
 }
@@ -40,7 +40,7 @@
 }
 
 void PeerConnection::ReadAvailable() {
-  const std::shared_ptr<PeerConnection> self = shared_from_this();  // a line may end this connection
+  const std::shared_ptr<PeerConnection> self = shared_from_this();  // callbacks may release it
   std::array<char, kReadBufferSize> bytes;
   while (!closed_) {
     const ssize_t size = ::recv(socket_.native_handle(), bytes.data(), bytes.size(), MSG_DONTWAIT);
@@ -49,7 +49,7 @@
     if (size <= 0) return Disconnect();
     input_.append(bytes.data(), static_cast<std::size_t>(size));
     ProcessInput();
-    if (input_.size() > kLongestLine) return Disconnect();
+    if (input_.size() > kMaxLineLength) return Disconnect();
   }
 }
 
@@ -57,7 +57,7 @@
   std::size_t begin = 0;
   std::size_t end = input_.find('\n');
   while (end != std::string::npos && !closed_) {
-    events_.line(std::string_view(input_).substr(begin, end - begin));
+    callbacks_.on_line(std::string_view(input_).substr(begin, end - begin));
     begin = end + 1;
     end = input_.find('\n', begin);
   }
@@ -66,7 +66,7 @@
 
 void PeerConnection::Send(const std::string& line) {
   output_ += line;
-  if (output_.size() > kMostUnread) return Disconnect();
+  if (output_.size() > kMaxUnsentBytes) return Disconnect();
   Flush();
 }
 
@@ -77,7 +77,7 @@
         ::send(socket_.native_handle(), output_.data(), output_.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
     if (size < 0 && errno == EINTR) continue;
     if (size < 0 && WouldBlock()) break;
-    if (size < 0) return;  // reading will find the connection's end
+    if (size < 0) return;  // reading detects the end of the connection
     output_.erase(0, static_cast<std::size_t>(size));
   }
   if (output_.empty()) return;
@@ -91,7 +91,7 @@
 void PeerConnection::Disconnect() {
   if (closed_) return;
   Close();
-  events_.closed();
+  callbacks_.on_closed();
 }
 
 void PeerConnection::Close() {
--- a/src/hot_restart/peer_connection.hpp
+++ b/src/hot_restart/peer_connection.hpp
@@ -1,5 +1,5 @@
-// The connection to one peer process: lines of text over a non-blocking Unix socket. It knows nothing of what
-// the lines mean.
+// A connection to a peer process: exchanges lines of text over a non-blocking Unix socket, without
+// interpreting them.
 #ifndef TULIPYOKE_SRC_HOT_RESTART_PEER_CONNECTION_HPP_
 #define TULIPYOKE_SRC_HOT_RESTART_PEER_CONNECTION_HPP_
 
@@ -11,39 +11,41 @@
 
 namespace tulipyoke::net {
 
-// Runs on the event loop, whose thread calls everything here. Owned by shared pointers: a pending wait keeps
-// it until it is closed.
+// Must be used on the event loop's thread. Owned by shared pointers: a pending asynchronous wait keeps it
+// alive until it is closed.
 class PeerConnection : public std::enable_shared_from_this<PeerConnection> {
  public:
   using Socket = asio::local::stream_protocol::socket;
-  struct Events {
-    std::function<void(std::string_view line)> line;  // without its end
-    // The peer ended the connection or broke the protocol's limits. Called once, and not after `Close`.
-    std::function<void()> closed;
+  struct Callbacks {
+    std::function<void(std::string_view line)> on_line;  // without the newline
+    // The peer closed the connection or exceeded a size limit, or Disconnect was called. Called at most once,
+    // and not after Close.
+    std::function<void()> on_closed;
   };
 
-  PeerConnection(Socket socket, Events events);
+  PeerConnection(Socket socket, Callbacks callbacks);
 
-  // From here on what comes in is read and passed on.
+  // Starts reading and passing received lines to on_line.
   void Start();
-  // Passes on what has come in by now, without waiting for the event loop.
+  // Passes on the lines that have arrived so far, without waiting for the event loop.
   void ReadAvailable();
-  // Sends at once as much as the peer's buffer takes, so that the peer is told before what follows here, such
-  // as a client's answer. A peer that leaves too much unread is disconnected. `line` has its end.
+  // Immediately sends as much as the socket buffer accepts, so that the peer can read the line before later
+  // actions of this process, such as a response to a client, take effect. Disconnects a peer that leaves too
+  // much data unread. `line` includes the newline.
   void Send(const std::string& line);
-  // Closes and calls `closed`. Without effect once closed.
+  // Closes the connection and calls on_closed. Has no effect if it is already closed.
   void Disconnect();
-  // Closes without a further event.
+  // Closes the connection without calling on_closed.
   void Close();
 
  private:
   void AwaitReadable();
-  // Passes on the complete lines of what has come in.
+  // Passes the complete lines in input_ to on_line.
   void ProcessInput();
   void Flush();
 
   Socket socket_;
-  Events events_;
+  Callbacks callbacks_;
   std::string input_;
   std::string output_;
   bool awaiting_writable_ = false;
--- a/src/hot_restart/socket_path.cpp
+++ b/src/hot_restart/socket_path.cpp
@@ -8,7 +8,7 @@
 namespace tulipyoke::net {
 namespace {
 
-// Names of routers may contain what file names may not.
+// Replaces the characters of a router's name that may not be allowed in a file name.
 std::string ToFileName(const std::string& name) {
   std::string file_name;
   for (const char c : name) {
@@ -20,12 +20,12 @@
 
 }  // namespace
 
-std::optional<HotRestartSocketPaths> MakeSocketPaths(const std::string& folder, const std::string& name,
+std::optional<HotRestartSocketPaths> MakeSocketPaths(const std::string& directory, const std::string& name,
                                                      std::uint64_t seed) {
   HotRestartSocketPaths paths;
-  paths.shared = folder + "/tulipyoke-" + ToFileName(name) + ".sock";
-  paths.unpublished = paths.shared + "." + std::to_string(seed) + "." + std::to_string(::getpid());
-  if (paths.unpublished.size() >= sizeof(sockaddr_un::sun_path)) return std::nullopt;
+  paths.shared = directory + "/tulipyoke-" + ToFileName(name) + ".sock";
+  paths.temporary = paths.shared + "." + std::to_string(seed) + "." + std::to_string(::getpid());
+  if (paths.temporary.size() >= sizeof(sockaddr_un::sun_path)) return std::nullopt;
   return paths;
 }
 
--- a/tests/hot_restart/golden_bytes_test.cpp
+++ b/tests/hot_restart/golden_bytes_test.cpp
@@ -1,6 +1,6 @@
-// The exact bytes that two processes of one router send each other during a hot restart. An older and a newer
-// version of the program must understand each other in both directions, so these bytes must never change: the
-// expected strings were recorded from a released version and are compared byte by byte.
+// Tests the exact bytes that two processes of one router send each other during a hot restart. An older and a
+// newer version of the program must understand each other in both directions, so these bytes must never
+// change: the expected strings were recorded from a released version and are compared byte by byte.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -27,9 +27,9 @@
 
 using Local = asio::local::stream_protocol;
 
-constexpr std::uint64_t kLargestKey = std::numeric_limits<std::uint64_t>::max();
+constexpr std::uint64_t kMaxKey = std::numeric_limits<std::uint64_t>::max();
 
-TEST(HotRestartGoldenBytes, EachKindOfMessageIsWrittenAsRecorded) {
+TEST(HotRestartGoldenBytes, MessagesAreWrittenAsRecorded) {
   EXPECT_EQ(ToLine(HotRestartStep::kHello), "hello\n");
   EXPECT_EQ(ToLine(HotRestartStep::kSynced), "synced\n");
   EXPECT_EQ(ToLine(HotRestartStep::kServing), "serving\n");
@@ -37,7 +37,7 @@
   EXPECT_EQ(ToLine(DescriptorUsage{0}), "holds 0\n");
   EXPECT_EQ(ToLine(DescriptorUsage{4096}), "holds 4096\n");
   EXPECT_EQ(ToLine(SessionUpdate{0, 0, 0}), "session 0 0 0\n");
-  EXPECT_EQ(ToLine(SessionUpdate{kLargestKey, 3, 1767225600123}),
+  EXPECT_EQ(ToLine(SessionUpdate{kMaxKey, 3, 1767225600123}),
             "session 18446744073709551615 3 1767225600123\n");
   EXPECT_EQ(ToLine(SessionUpdate{7, -1, -5}), "session 7 -1 -5\n");
   EXPECT_EQ(ToLine(ServerUpdate{"s1", Role::kUnknown, 0, 0}), "server 0 0 0 s1\n");
@@ -70,11 +70,11 @@
 }
 
 TEST(HotRestartGoldenBytes, RecordedSessionsAreParsed) {
-  const auto largest = ParseHotRestartMessage("session 18446744073709551615 3 1767225600123");
-  ASSERT_TRUE(largest && std::holds_alternative<SessionUpdate>(*largest));
-  EXPECT_EQ(std::get<SessionUpdate>(*largest).key, kLargestKey);
-  EXPECT_EQ(std::get<SessionUpdate>(*largest).group, 3);
-  EXPECT_EQ(std::get<SessionUpdate>(*largest).commit_unix_ms, 1767225600123);
+  const auto max_key = ParseHotRestartMessage("session 18446744073709551615 3 1767225600123");
+  ASSERT_TRUE(max_key && std::holds_alternative<SessionUpdate>(*max_key));
+  EXPECT_EQ(std::get<SessionUpdate>(*max_key).key, kMaxKey);
+  EXPECT_EQ(std::get<SessionUpdate>(*max_key).group, 3);
+  EXPECT_EQ(std::get<SessionUpdate>(*max_key).commit_unix_ms, 1767225600123);
   const auto negative = ParseHotRestartMessage("session 0 -1 -5");
   ASSERT_TRUE(negative && std::holds_alternative<SessionUpdate>(*negative));
   EXPECT_EQ(std::get<SessionUpdate>(*negative).key, 0u);
@@ -101,9 +101,9 @@
   EXPECT_EQ(std::get<ServerUpdate>(*unknown).id, " two spaces");
 }
 
-// What the parser accepts is part of the protocol as well: a line that one version writes, and another one
-// does not take, ends the connection between the two processes.
-TEST(HotRestartGoldenBytes, TheSameLinesAreRejectedAsRecorded) {
+// The set of accepted lines is part of the protocol: if one version rejects a line that another one sends,
+// the connection between the two processes is closed.
+TEST(HotRestartGoldenBytes, InvalidLinesAreRejectedAsRecorded) {
   for (const char* line : {"",
                            " ",
                            "hello ",
@@ -143,7 +143,7 @@
   }
 }
 
-// A trailing separator behind the last number is accepted, and always has been.
+// A trailing space after the last number has always been accepted.
 TEST(HotRestartGoldenBytes, ATrailingSpaceIsAcceptedAsRecorded) {
   const auto session = ParseHotRestartMessage("session 1 2 3 ");
   ASSERT_TRUE(session && std::holds_alternative<SessionUpdate>(*session));
@@ -153,25 +153,25 @@
   EXPECT_EQ(std::get<DescriptorUsage>(*usage).descriptors, 1);
 }
 
-// A running router beside a peer process that is a bare socket of the test's.
+// Runs a router; the test itself plays the peer process over a socket.
 class HotRestartGoldenTranscript : public testing::Test {
  protected:
-  HotRestartGoldenTranscript() : listening_(io_, Loopback(0)) {
-    std::filesystem::create_directories(folder_);
+  HotRestartGoldenTranscript() : client_acceptor_(io_, Loopback(0)) {
+    std::filesystem::create_directories(directory_);
   }
-  ~HotRestartGoldenTranscript() override { std::filesystem::remove_all(folder_); }
+  ~HotRestartGoldenTranscript() override { std::filesystem::remove_all(directory_); }
 
   std::unique_ptr<RunningServer> Start(const std::vector<std::uint16_t>& servers) {
     return std::make_unique<RunningServer>(servers, 256, 1, [&](Config& config) {
-      config.accept_fd = ::dup(listening_.native_handle());
-      config.shared_directory = folder_;
-      config.settings.classes[0].deadline = 300'000;  // so that a shutdown is soon over
+      config.accept_fd = ::dup(client_acceptor_.native_handle());
+      config.shared_directory = directory_;
+      config.settings.classes[0].deadline = 300'000;  // so that the shutdown ends soon
     });
   }
-  // The file name that the two versions find each other by.
-  std::string SocketPath() const { return folder_ + "/tulipyoke-n.sock"; }
+  // The socket path that both versions must use.
+  std::string SocketPath() const { return directory_ + "/tulipyoke-n.sock"; }
   static void Write(Local::socket& peer, const std::string& bytes) { asio::write(peer, asio::buffer(bytes)); }
-  // Exactly as many bytes as are expected.
+  // Reads `size` bytes, or fewer if the peer closes the connection.
   static std::string Read(Local::socket& peer, std::size_t size) {
     std::string bytes(size, '\0');
     std::error_code ignored;
@@ -184,10 +184,10 @@
     asio::read(peer, asio::dynamic_buffer(bytes), end);
     return bytes;
   }
-  static void AwaitReady(RunningServer& router, std::string_view status) {
-    const auto give_up = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+  static void WaitForReadyStatus(RunningServer& router, std::string_view status) {
+    const auto wait_end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     std::string answer = router.Call("GET", "/control/ready");
-    while (answer.find(status) == std::string::npos && std::chrono::steady_clock::now() < give_up) {
+    while (answer.find(status) == std::string::npos && std::chrono::steady_clock::now() < wait_end) {
       std::this_thread::yield();
       answer = router.Call("GET", "/control/ready");
     }
@@ -197,12 +197,12 @@
   asio::io_context io_;
 
  private:
-  const std::string folder_ = testing::TempDir() + "tulipyoke_golden_" + std::to_string(::getpid());
-  tcp::acceptor listening_;
+  const std::string directory_ = testing::TempDir() + "tulipyoke_golden_" + std::to_string(::getpid());
+  tcp::acceptor client_acceptor_;
 };
 
-// All that an older process of this version sends to a newer one, from its greeting to the end.
-TEST_F(HotRestartGoldenTranscript, OfAnOlderProcess) {
+// Everything that an older process of this version sends to a newer one, from connecting to its end.
+TEST_F(HotRestartGoldenTranscript, SentByAnOlderProcess) {
   const std::unique_ptr<RunningServer> older = Start({1});
   Local::socket newer(io_);
   newer.connect(Local::endpoint(SocketPath()));
@@ -210,28 +210,28 @@
   const std::string state = "server 0 -1 0 s1\nsynced\n";
   EXPECT_EQ(Read(newer, state.size()), state);
   Write(newer, "session 5 0 1767225600123\nserver 1 17 0 s1\nserving\n");
-  AwaitReady(*older, " 503 ");
-  // 48 descriptors are its own, and it has no client and no server left.
-  const std::string shrunk = "holds 48\n";
-  EXPECT_EQ(Read(newer, shrunk.size()), shrunk);
+  WaitForReadyStatus(*older, " 503 ");
+  // The process itself uses 48 descriptors, and it has no connection to a client or server left.
+  const std::string descriptor_usage = "holds 48\n";
+  EXPECT_EQ(Read(newer, descriptor_usage.size()), descriptor_usage);
   kill(getpid(), SIGTERM);
   EXPECT_EQ(ReadToEnd(newer), "done\n");
 }
 
-// All that a newer process of this version sends to an older one, from its greeting to the end.
-TEST_F(HotRestartGoldenTranscript, OfANewerProcess) {
+// Everything that a newer process of this version sends to an older one, from connecting to its end.
+TEST_F(HotRestartGoldenTranscript, SentByANewerProcess) {
   Local::acceptor acceptor(io_, Local::endpoint(SocketPath()));
   const std::unique_ptr<RunningServer> newer = Start({});
   Local::socket older = acceptor.accept();
   const std::string greeting = "hello\n";
   EXPECT_EQ(Read(older, greeting.size()), greeting);
-  AwaitReady(*newer, " 503 ");
+  WaitForReadyStatus(*newer, " 503 ");
   Write(older, "session 0 0 5\nsession 18446744073709551615 0 1767225600123\nserver 2 17 0 s-5 b\nsynced\n");
-  AwaitReady(*newer, " 200 ");
+  WaitForReadyStatus(*newer, " 200 ");
   const std::string serving = "serving\n";
   EXPECT_EQ(Read(older, serving.size()), serving);
   Write(older, "holds 100\nholds 48\n");
-  AwaitReady(*newer, " 200 ");
+  WaitForReadyStatus(*newer, " 200 ");
   kill(getpid(), SIGTERM);
   EXPECT_EQ(ReadToEnd(older), "done\n");
 }
--- a/tests/hot_restart/message_test.cpp
+++ b/tests/hot_restart/message_test.cpp
@@ -1,4 +1,4 @@
-// The messages of a hot restart, as lines of text.
+// Tests the text format of hot restart messages.
 #include "src/hot_restart/message.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
   EXPECT_EQ(std::get<DescriptorUsage>(*ParseHotRestartMessage("holds 77")).descriptors, 77);
 }
 
-// Lines that were cut off are not taken for messages.
+// Truncated and otherwise invalid lines are not accepted as messages.
 TEST(HotRestartMessage, RejectsMalformedLines) {
   for (const char* line : {"", "hello ", "session", "session 1 2", "session 1 2 3 4", "session x 2 3",
                            "server 9 1 1 s", "server 1 1 1", "holds -1", "holds", "GET / HTTP/1.1"}) {
