--- a/src/upstream/upstream_connection.cpp
+++ b/src/upstream/upstream_connection.cpp
@@ -86,7 +86,7 @@
   return response_.outcome();
 }
 
-bool UpstreamConnection::HasNothingToRead() {
+bool UpstreamConnection::HasNoInput() {
   char byte = 0;
   std::error_code error;
   socket_.receive(asio::buffer(&byte, 1), asio::socket_base::message_peek, error);
--- a/src/upstream/upstream_connection.hpp
+++ b/src/upstream/upstream_connection.hpp
@@ -91,7 +91,7 @@
   // Whether the socket has neither unread bytes nor a pending end of stream. It peeks at the socket: the
   // number of available bytes does not show an end of stream, of which the event loop may not have been
   // notified yet.
-  bool HasNothingToRead();
+  bool HasNoInput();
   // Whether a value is being streamed, reading is not paused, and no data has arrived for too long.
   bool IsStalled();
 
--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -55,7 +55,7 @@
     if (connection->idle_since() < idle_policy_.IdleSinceCutoff(clock_.Now())) {
       ++counters_.idle_closed;
       Close(connection);
-    } else if (!connection->HasNothingToRead()) {
+    } else if (!connection->HasNoInput()) {
       ++counters_.unsolicited;
       Close(connection);
     } else {
@@ -101,10 +101,8 @@
 void UpstreamPool::OnReady(const UpstreamConnectionPtr& connection) {
   const ServerId server = connection->server();
   Upstream& upstream = upstreams_[server];
-  if (connection->endpoint() != upstream.endpoint)
-    return Replace(connection);  // the server's address has changed
-  if (connection->has_partial_messages() || !connection->HasNothingToRead())
-    return OnUnsolicitedData(connection);
+  if (connection->endpoint() != upstream.endpoint) return Replace(connection);  // the address has changed
+  if (connection->has_partial_messages() || !connection->HasNoInput()) return OnUnsolicitedData(connection);
   if (connection->state() == State::kConnecting) Remove(upstream.connecting, connection);
   if (connection->state() == State::kCoolingDown) --upstream.cooling_down;
   connection->BecomeIdle();
--- a/tests/upstream/pending_operations_test.cpp
+++ b/tests/upstream/pending_operations_test.cpp
@@ -84,8 +84,7 @@
   harness.Start({RouterHarness::ListedServerAt("a", server.port())});
   const RequestId id = harness.Submit("statement");
   ASSERT_TRUE(harness.RunUntil([&] { return server.Accept(); }));
-  harness.UpdateServer(RouterHarness::ListedServerAt(
-      "a", relocated.port()));  // the connection to the old address is never established
+  harness.UpdateServer(RouterHarness::ListedServerAt("a", relocated.port()));  // the old one never opens
   ServeOn(relocated, 0, "statement", id);
   ExpectClosedWithoutReceiving(0, "statement");
 }
--- a/tests/upstream/upstream_connection_test.cpp
+++ b/tests/upstream/upstream_connection_test.cpp
@@ -72,9 +72,9 @@
     harness.RunUntilIdle();
     pollfd poll_entry{*sender, POLLOUT, 0};
     while (::poll(&poll_entry, 1, 1) == 0) server.ReadAvailable(0);
-    const std::size_t bytes_sent = server.received[0].size();
-    if (size > bytes_sent + (std::size_t{1} << 20)) {
-      size = bytes_sent + 96'000;
+    const std::size_t bytes_received = server.received[0].size();
+    if (size > bytes_received + (std::size_t{1} << 20)) {
+      size = bytes_received + 96'000;
       continue;
     }
     server.sockets[0].shutdown(tcp::socket::shutdown_send);
