--- a/src/server/hot_restart_coordinator.cpp
+++ b/src/server/hot_restart_coordinator.cpp
@@ -40,12 +40,12 @@
       serving_state_(serving_state),
       pool_(pool),
       listener_(listener),
-      hot_restart_(io, HotRestartDirectory(config), config.name, config.seed, MakeEvents()),
+      hot_restart_(io, HotRestartDirectory(config), config.name, config.seed, MakeCallbacks()),
       older_sync_timer_(io),
       session_sync_timer_(io),
       quota_timer_(io) {}
 
-HotRestartEvents HotRestartCoordinator::MakeEvents() {
+HotRestartCallbacks HotRestartCoordinator::MakeCallbacks() {
   return {
       [this](PeerProcess peer, HotRestartStep step) { OnStep(peer, step); },
       [this](const DescriptorUsage& usage) { OnDescriptorUsage(usage); },
@@ -56,7 +56,7 @@
 }
 
 void HotRestartCoordinator::Start() {
-  if (!hot_restart_.ConnectToOlder()) return StartServing();
+  if (!hot_restart_.ConnectToOlderProcess()) return StartServing();
   LogInfo("takes_over", config_.name + " is taking over from an older process", {{"name", config_.name}});
   SetQuota(kHalfShare);
   dispatcher_.SetReplicationEnabled(true);
@@ -78,7 +78,7 @@
   serving_state_.Start();
   listener_.StartAccepting();
   hot_restart_.SendStep(PeerProcess::kOlder, HotRestartStep::kServing);
-  hot_restart_.ListenForNewer();
+  hot_restart_.ListenForNewerProcess();
   const std::string host = ParseHostPortOrThrow(config_.listen_address).host;
   const std::string address = host + ":" + std::to_string(listener_.port());
   const std::size_t servers = config_.cached_listing.servers.size();
@@ -102,8 +102,8 @@
   // The quota is reduced first, so that both processes together stay within the limits of one.
   SetQuota(kHalfShare);
   dispatcher_.SetReplicationEnabled(true);
-  for (const ServerUpdate& server : dispatcher_.ServerSnapshot()) hot_restart_.SendToNewer(server);
-  for (const SessionUpdate& session : dispatcher_.SessionSnapshot()) hot_restart_.SendToNewer(session);
+  for (const ServerUpdate& server : dispatcher_.ServerSnapshot()) hot_restart_.SendToNewerProcess(server);
+  for (const SessionUpdate& session : dispatcher_.SessionSnapshot()) hot_restart_.SendToNewerProcess(session);
   hot_restart_.SendStep(PeerProcess::kNewer, HotRestartStep::kSynced);
 }
 
@@ -122,7 +122,7 @@
   const int descriptors = static_cast<int>(listener_.clients() + pool_.connections()) + kReservedDescriptors;
   if (descriptors < reported_descriptors_) {
     reported_descriptors_ = descriptors;
-    hot_restart_.SendToNewer(DescriptorUsage{descriptors});
+    hot_restart_.SendToNewerProcess(DescriptorUsage{descriptors});
   }
   quota_timer_.ExpireAfter(kReduceQuotaInterval, [this] { ReduceQuota(); });
 }
@@ -137,7 +137,7 @@
   const bool finished = reason == DisconnectReason::kFinished;
   LogInfo("partner_left", std::string("the ") + NameOf(peer) + " process " +
                               (finished ? "has finished" : "disconnected before it finished"));
-  if (hot_restart_.alone()) {
+  if (hot_restart_.has_no_peer()) {
     SetQuota(kFullShare);
     dispatcher_.SetReplicationEnabled(false);
   }
