--- a/src/discovery/dns_sd_discovery.cpp
+++ b/src/discovery/dns_sd_discovery.cpp
@@ -46,7 +46,7 @@
         name(source_name),
         browser(BrowserOptionsOf(source, max_queries)),
         resolver(source.resolver_options) {
-    for (const std::string& address : source.resolvers) endpoints.push_back(net::ToEndpoint(address));
+    for (const std::string& address : source.resolvers) endpoints.push_back(net::ParseEndpoint(address));
   }
 
   std::size_t source_index;
--- a/src/discovery/registry_watch.cpp
+++ b/src/discovery/registry_watch.cpp
@@ -39,7 +39,7 @@
                              std::uint64_t version, const PollBackoff& backoff)
     : io_(io),
       on_update_(std::move(on_update)),
-      endpoint_(address.empty() ? asio::ip::tcp::endpoint() : net::ToEndpoint(address)),
+      endpoint_(address.empty() ? asio::ip::tcp::endpoint() : net::ParseEndpoint(address)),
       address_(address),
       version_(version),
       silence_timer_(io),
@@ -56,7 +56,7 @@
 
 void RegistryWatch::Redirect(const std::string& address) {
   if (address_.empty()) return;
-  endpoint_ = net::ToEndpoint(address);
+  endpoint_ = net::ParseEndpoint(address);
   address_ = address;
   version_ = 0;
   backoff_.Reset();
--- a/src/event_loop/endpoint.hpp
+++ b/src/event_loop/endpoint.hpp
@@ -12,7 +12,7 @@
 
 // `address` is `IP:port`. Throws std::runtime_error where it is not. Host names are not resolved: there may
 // be no resolver to ask, and the loop must not wait for one.
-inline asio::ip::tcp::endpoint ToEndpoint(const std::string& address) {
+inline asio::ip::tcp::endpoint ParseEndpoint(const std::string& address) {
   const HostPort parts = ParseHostPortOrThrow(address);
   std::error_code error;
   const asio::ip::address host = asio::ip::make_address(parts.host, error);
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -39,7 +39,7 @@
 }
 
 ListenerOptions MakeListenerOptions(const Config& config, std::function<void()> before_request) {
-  return {ToEndpoint(config.listen_address), QuotaFor(config, kWholeShare).clients,
+  return {ParseEndpoint(config.listen_address), QuotaFor(config, kWholeShare).clients,
           config.accept_fd.value_or(-1), std::move(before_request)};
 }
 
@@ -77,7 +77,7 @@
 
 void Server::StartAdminServer() {
   if (config_.admin_address.empty()) return;
-  admin_server_.emplace(io_, ToEndpoint(config_.admin_address),
+  admin_server_.emplace(io_, ParseEndpoint(config_.admin_address),
                         [this](const std::string& method, const std::string& path) {
                           return admin_calls_.Answer(method, path);
                         });
--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -232,7 +232,7 @@
 void UpstreamPool::SetAddress(ServerId server, const std::string& address) {
   Upstream& upstream = upstreams_[server];
   try {
-    upstream.endpoint = ToEndpoint(address);
+    upstream.endpoint = ParseEndpoint(address);
   } catch (const std::exception& error) {
     upstream.endpoint.reset();
     LogWarning("server_address_unusable", "a server has an unusable address: " + std::string(error.what()));
