--- a/src/admin/admin_response.hpp
+++ b/src/admin/admin_response.hpp
@@ -1,4 +1,4 @@
-// What the admin server answers to one request.
+// A response of the admin server and its serialization as HTTP.
 #ifndef TULIPYOKE_SRC_ADMIN_ADMIN_RESPONSE_HPP_
 #define TULIPYOKE_SRC_ADMIN_ADMIN_RESPONSE_HPP_
 
@@ -10,12 +10,12 @@
 
 struct AdminResponse {
   http_status status = HTTP_STATUS_OK;
-  std::string body = {};   // plain text
-  std::string allow = {};  // of HTTP_STATUS_METHOD_NOT_ALLOWED: the method that the path is called with
+  std::string body = {};            // plain text
+  std::string allowed_method = {};  // sent with HTTP_STATUS_METHOD_NOT_ALLOWED; empty: no Allow header
 };
 
-// The response as HTTP/1.1, with the connection to be closed after it.
-std::string ToHttp(const AdminResponse& response);
+// Serializes the response as HTTP/1.1 with `Connection: close`.
+std::string SerializeHttpResponse(const AdminResponse& response);
 
 }  // namespace tulipyoke::net
 
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -12,15 +12,15 @@
 namespace tulipyoke::net {
 namespace {
 
-// Connections at once. One more replaces the oldest: those that send nothing must neither keep an operator
-// out nor use up the clients' descriptors.
+// Limit of open connections. A further one replaces the oldest: idle connections must neither lock out an
+// operator nor use up the file descriptors that clients need.
 constexpr std::size_t kMaxConnections = 16;
-// The time for a request to come in completely.
+// A complete request must arrive within this time.
 constexpr auto kRequestTimeout = std::chrono::seconds(5);
-// The time that the caller has to read the response and close.
+// How long the caller may take to read the response and close the connection.
 constexpr auto kLingerTimeout = std::chrono::seconds(1);
-constexpr auto kAcceptPause = std::chrono::milliseconds(20);
-// Bytes per read.
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);
+// In bytes.
 constexpr std::size_t kReadBufferSize = 1024;
 
 }  // namespace
@@ -31,14 +31,14 @@
   asio::ip::tcp::socket socket;
   asio::steady_timer timer;
   HttpRequestParser parser;
-  bool answered = false;
+  bool responded = false;
   bool closed = false;
   std::string output;
   std::array<char, kReadBufferSize> input{};
 };
 
 AdminServer::AdminServer(asio::io_context& io, const asio::ip::tcp::endpoint& listen, Handler handler)
-    : io_(io), handler_(std::move(handler)), acceptor_(io), accept_pause_(io) {
+    : io_(io), handler_(std::move(handler)), acceptor_(io), accept_retry_timer_(io) {
   Listen(listen);
   Accept();
 }
@@ -53,7 +53,7 @@
     acceptor_.listen(asio::socket_base::max_listen_connections);
     acceptor_.non_blocking(true);
   } catch (const std::system_error& error) {
-    throw std::runtime_error("cannot listen for operators on port " + std::to_string(endpoint.port()) +
+    throw std::runtime_error("admin server cannot listen on port " + std::to_string(endpoint.port()) +
                              " of " + endpoint.address().to_string() + ": " + error.code().message());
   }
 }
@@ -61,21 +61,21 @@
 void AdminServer::Accept() {
   acceptor_.async_accept([this](std::error_code error, asio::ip::tcp::socket socket) {
     if (error == asio::error::operation_aborted || !acceptor_.is_open()) return;
-    if (error) return AcceptAfterPause();
-    Add(std::move(socket));
+    if (error) return RetryAcceptAfterDelay();
+    AddConnection(std::move(socket));
     Accept();
   });
 }
 
-// After an error such as a lack of descriptors, which would come back at once.
-void AdminServer::AcceptAfterPause() {
-  accept_pause_.expires_after(kAcceptPause);
-  accept_pause_.async_wait([this](std::error_code error) {
+// Called after an error such as a lack of file descriptors, which an immediate retry would meet again.
+void AdminServer::RetryAcceptAfterDelay() {
+  accept_retry_timer_.expires_after(kAcceptRetryDelay);
+  accept_retry_timer_.async_wait([this](std::error_code error) {
     if (!error) Accept();
   });
 }
 
-void AdminServer::Add(asio::ip::tcp::socket socket) {
+void AdminServer::AddConnection(asio::ip::tcp::socket socket) {
   if (connections_.size() >= kMaxConnections) {
     ++counters_.timed_out;
     Close(ConnectionPtr(connections_.front()));
@@ -89,7 +89,7 @@
 void AdminServer::ArmRequestTimeout(const ConnectionPtr& connection) {
   connection->timer.expires_after(kRequestTimeout);
   connection->timer.async_wait([this, connection](std::error_code error) {
-    if (error || connection->closed || connection->answered) return;
+    if (error || connection->closed || connection->responded) return;
     ++counters_.timed_out;
     Respond(connection, {HTTP_STATUS_REQUEST_TIMEOUT, "no whole call came in time\n"});
   });
@@ -100,12 +100,12 @@
                                      [this, connection](std::error_code error, std::size_t size) {
                                        if (connection->closed) return;
                                        if (error) return Close(connection);
-                                       if (!connection->answered) OnBytes(connection, size);
+                                       if (!connection->responded) ParseInput(connection, size);
                                        if (!connection->closed) Read(connection);
                                      });
 }
 
-void AdminServer::OnBytes(const ConnectionPtr& connection, std::size_t size) {
+void AdminServer::ParseInput(const ConnectionPtr& connection, std::size_t size) {
   HttpRequestParser& parser = connection->parser;
   switch (parser.Feed(std::string_view(connection->input.data(), size))) {
     case HttpRequestParser::Progress::kIncomplete:
@@ -119,11 +119,11 @@
   }
 }
 
-// Writes the response, then waits for the caller to close: closing at once could destroy what it has not
-// read.
+// Writes the response, then waits for the caller to close the connection: closing it at once could discard
+// data that the caller has not read.
 void AdminServer::Respond(const ConnectionPtr& connection, const AdminResponse& response) {
-  connection->answered = true;
-  connection->output = ToHttp(response);
+  connection->responded = true;
+  connection->output = SerializeHttpResponse(response);
   asio::async_write(connection->socket, asio::buffer(connection->output),
                     [this, connection](std::error_code error, std::size_t) {
                       if (connection->closed) return;
@@ -149,7 +149,7 @@
 void AdminServer::Stop() {
   std::error_code ignored;
   acceptor_.close(ignored);
-  accept_pause_.cancel();
+  accept_retry_timer_.cancel();
   for (const ConnectionPtr& connection : std::list<ConnectionPtr>(connections_)) Close(connection);
 }
 
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -1,5 +1,5 @@
-// The admin server: HTTP/1.1 for operators and health checks, one request per connection, on a port of its
-// own beside the clients' traffic.
+// The admin server: serves HTTP/1.1 to operators and health checks on a port separate from client traffic,
+// one request per connection.
 #ifndef TULIPYOKE_SRC_ADMIN_ADMIN_SERVER_HPP_
 #define TULIPYOKE_SRC_ADMIN_ADMIN_SERVER_HPP_
 
@@ -18,16 +18,17 @@
 struct AdminCounters {
   std::uint64_t requests = 0;
   std::uint64_t malformed = 0;
-  std::uint64_t timed_out = 0;  // connections that sent no complete request, or were replaced before it
+  std::uint64_t timed_out =
+      0;  // connections that sent no complete request in time, or that a newer connection replaced
 };
 
-// Runs on the event loop, whose thread calls everything here.
+// Not thread-safe: used only on the event loop's thread, which also calls the handler.
 class AdminServer {
  public:
-  // Answers a complete request; the path is without its query.
+  // Returns the response to a complete request; `path` excludes the query.
   using Handler = std::function<AdminResponse(const std::string& method, const std::string& path)>;
 
-  // Accepts at once. Throws std::runtime_error where the address cannot be listened on.
+  // Starts accepting connections. Throws std::runtime_error if it cannot listen on `listen`.
   AdminServer(asio::io_context& io, const asio::ip::tcp::endpoint& listen, Handler handler);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
@@ -44,11 +45,11 @@
 
   void Listen(const asio::ip::tcp::endpoint& endpoint);
   void Accept();
-  void AcceptAfterPause();
-  void Add(asio::ip::tcp::socket socket);
+  void RetryAcceptAfterDelay();
+  void AddConnection(asio::ip::tcp::socket socket);
   void ArmRequestTimeout(const ConnectionPtr& connection);
   void Read(const ConnectionPtr& connection);
-  void OnBytes(const ConnectionPtr& connection, std::size_t size);
+  void ParseInput(const ConnectionPtr& connection, std::size_t size);
   void Respond(const ConnectionPtr& connection, const AdminResponse& response);
   void Close(const ConnectionPtr& connection);
 
@@ -56,8 +57,8 @@
   Handler handler_;
   AdminCounters counters_;
   asio::ip::tcp::acceptor acceptor_;
-  asio::steady_timer accept_pause_;
-  std::list<ConnectionPtr> connections_;  // the oldest first
+  asio::steady_timer accept_retry_timer_;
+  std::list<ConnectionPtr> connections_;  // oldest first
 };
 
 }  // namespace tulipyoke::net
--- a/src/admin/http_request_parser.hpp
+++ b/src/admin/http_request_parser.hpp
@@ -1,4 +1,4 @@
-// One HTTP/1.1 request to the admin server, parsed as its bytes come in. No sockets.
+// Incremental parser of one HTTP/1.1 request to the admin server. Uses no sockets.
 #ifndef TULIPYOKE_SRC_ADMIN_HTTP_REQUEST_PARSER_HPP_
 #define TULIPYOKE_SRC_ADMIN_HTTP_REQUEST_PARSER_HPP_
 
@@ -15,19 +15,19 @@
   enum class Progress {
     kIncomplete,
     kComplete,
-    kMalformed,  // not HTTP/1.1, or larger than a request to this server can be
+    kMalformed,  // not valid HTTP, an upgrade, or over the size limit
   };
 
   HttpRequestParser();
   HttpRequestParser(const HttpRequestParser&) = delete;
   HttpRequestParser& operator=(const HttpRequestParser&) = delete;
 
-  // Takes the next bytes, however the request was cut. Bytes after a complete request are ignored.
+  // Parses the next bytes; a request may be split anywhere. Bytes after a complete request are ignored.
   Progress Feed(std::string_view bytes);
 
-  // Of a complete request.
+  // Valid only once the request is complete.
   std::string method() const { return http_method_str(static_cast<http_method>(parser_.method)); }
-  // Of a complete request: without the query; empty where the request names no path.
+  // Valid only once the request is complete. Excludes the query; empty if the request URL has no path.
   std::string Path() const;
 
  private:
@@ -37,7 +37,7 @@
   http_parser parser_;
   http_parser_settings callbacks_;
   std::string url_;
-  std::size_t received_ = 0;  // bytes
+  std::size_t received_bytes_ = 0;
   bool complete_ = false;
 };
 
--- a/src/cli/browse_command.cpp
+++ b/src/cli/browse_command.cpp
@@ -19,7 +19,7 @@
 constexpr Micros kMicrosPerMillisecond = 1000;
 constexpr double kMicrosPerSecond = 1e6;
 
-const char* StateText(ServerState state) {
+const char* ServerStateName(ServerState state) {
   switch (state) {
     case ServerState::kReady:
       return "in service";
@@ -31,7 +31,7 @@
   return "gone";
 }
 
-MembershipConfig SourcesOfCommandLine(const BrowseOptions& options) {
+MembershipConfig MembershipFromOptions(const BrowseOptions& options) {
   const nlohmann::json source{{"type", "dns-sd"},
                               {"zone", options.zone},
                               {"service", options.service},
@@ -40,51 +40,55 @@
   return ParseMembershipConfig({{"sources", {source}}}, "command line", Settings());
 }
 
-// Throws std::runtime_error where the file has no such source.
-MembershipConfig SourcesOfFile(const BrowseOptions& options) {
+// Reads the file and keeps the selected DNS-SD sources. Throws std::runtime_error if there is none.
+MembershipConfig MembershipFromFile(const BrowseOptions& options) {
   MembershipConfig config = ParseConfig(ReadFile(options.file)).membership;
   std::erase_if(config.sources, [&](const SourceConfig& source) {
-    const bool wanted = options.source.empty() || source.name == options.source;
-    return source.kind != SourceConfig::Kind::kDnsSd || !wanted;
+    const bool name_matches = options.source.empty() || source.name == options.source;
+    return source.kind != SourceConfig::Kind::kDnsSd || !name_matches;
   });
-  if (!config.enabled()) throw std::runtime_error("the configuration names no such DNS-SD source");
+  if (!config.enabled()) throw std::runtime_error("the configuration has no matching DNS-SD source");
   return config;
 }
 
-// Shows the zones until the time is over or, with `once`, all have been reported.
+// Browses the zones and prints each change until the time is over or, with `once`, every zone has been
+// reported.
 class Browser {
  public:
   Browser(const BrowseOptions& options, const MembershipConfig& config, std::ostream& out)
-      : options_(options), out_(out), start_(clock_.Now()), directory_(io_, clock_, config, OnListing()) {}
+      : options_(options),
+        out_(out),
+        start_(clock_.Now()),
+        discovery_(io_, clock_, config, MakeListingCallback()) {}
 
   int Run() {
-    const Micros end = start_ + static_cast<Micros>(options_.seconds * kMicrosPerSecond);
-    while (clock_.Now() < end && !(options_.once && AllReported())) {
+    const Micros deadline = start_ + static_cast<Micros>(options_.seconds * kMicrosPerSecond);
+    while (clock_.Now() < deadline && !(options_.once && AllZonesReported())) {
       clock_.BeginIteration();
-      io_.run_one_until(clock_.ToSteady(end));
+      io_.run_one_until(clock_.ToSteady(deadline));
     }
     clock_.BeginIteration();
-    out_ << ToText(directory_, clock_.Now());
-    return AllReported() ? kExitSuccess : kExitIncomplete;
+    out_ << ToText(discovery_, clock_.Now());
+    return AllZonesReported() ? kExitSuccess : kExitIncomplete;
   }
 
  private:
-  std::function<void(const EndpointList&)> OnListing() {
-    return [this](const EndpointList& listing) { Show(listing); };
+  std::function<void(const EndpointList&)> MakeListingCallback() {
+    return [this](const EndpointList& listing) { PrintListing(listing); };
   }
-  void Show(const EndpointList& listing) {
-    reported_ = true;
+  void PrintListing(const EndpointList& listing) {
+    received_listing_ = true;
     for (const ListedServer& server : listing.servers) {
       const Micros elapsed_ms = (clock_.Now() - start_) / kMicrosPerMillisecond;
-      out_ << elapsed_ms << " ms: " << server.id << " at " << server.address << " " << StateText(server.state)
-           << std::endl;
+      out_ << elapsed_ms << " ms: " << server.id << " at " << server.address << " "
+           << ServerStateName(server.state) << std::endl;
     }
   }
-  bool AllReported() const {
-    for (const auto& zone : directory_.Zones()) {
+  bool AllZonesReported() const {
+    for (const auto& zone : discovery_.Zones()) {
       if (zone.browser.accepted_lists == 0) return false;
     }
-    return reported_;
+    return received_listing_;
   }
 
   const BrowseOptions& options_;
@@ -92,8 +96,8 @@
   asio::io_context io_;
   net::LoopClock clock_;
   Micros start_;
-  bool reported_ = false;
-  discovery::DnsSdDiscovery directory_;
+  bool received_listing_ = false;
+  discovery::DnsSdDiscovery discovery_;
 };
 
 }  // namespace
@@ -101,7 +105,7 @@
 int BrowseDns(const BrowseOptions& options, std::ostream& out) {
   try {
     const MembershipConfig config =
-        options.file.empty() ? SourcesOfCommandLine(options) : SourcesOfFile(options);
+        options.file.empty() ? MembershipFromOptions(options) : MembershipFromFile(options);
     return Browser(options, config, out).Run();
   } catch (const std::exception& error) {
     out << error.what() << "\n";
--- a/src/cli/check_config_command.cpp
+++ b/src/cli/check_config_command.cpp
@@ -14,10 +14,11 @@
   try {
     const Config config = ParseConfig(ReadFile(file));
     ValidateForStart(config);
-    // Without DNS-SD sources, the registry is the only one.
-    const std::size_t sources = config.membership.enabled() ? config.membership.sources.size() : 1;
+    // Without a `membership` section, the registry is the only source.
+    const std::size_t source_count = config.membership.enabled() ? config.membership.sources.size() : 1;
     out << file << ": " << config.settings.classes.size() << " classes, "
-        << config.cached_listing.servers.size() << " known servers, " << sources << " sources of servers\n";
+        << config.cached_listing.servers.size() << " known servers, " << source_count
+        << " sources of servers\n";
     return kExitSuccess;
   } catch (const std::exception& error) {
     out << file << ": " << error.what() << "\n";
--- a/src/cli/check_config_command.hpp
+++ b/src/cli/check_config_command.hpp
@@ -1,4 +1,4 @@
-// `tulipyoke config check`: whether the program could start with a configuration.
+// `tulipyoke config check`: checks whether the router could start with a configuration.
 #ifndef TULIPYOKE_SRC_CLI_CHECK_CONFIG_COMMAND_HPP_
 #define TULIPYOKE_SRC_CLI_CHECK_CONFIG_COMMAND_HPP_
 
@@ -7,7 +7,7 @@
 
 namespace tulipyoke::cli {
 
-// Writes a summary of `file` to `out`, or what is wrong with it and where. Returns the exit status.
+// Writes a summary of `file` or its first error to `out`. Returns the exit status.
 int CheckConfig(const std::string& file, std::ostream& out);
 
 }  // namespace tulipyoke::cli
--- a/src/cli/command_line.hpp
+++ b/src/cli/command_line.hpp
@@ -1,10 +1,10 @@
-// The program's command line: its sub-commands and their options.
+// The command line: subcommands and their options.
 #ifndef TULIPYOKE_SRC_CLI_COMMAND_LINE_HPP_
 #define TULIPYOKE_SRC_CLI_COMMAND_LINE_HPP_
 
 namespace tulipyoke::cli {
 
-// Parses the arguments and runs the sub-command that they name; returns the program's exit status.
+// Parses the arguments and runs the selected subcommand, `run` by default. Returns the exit status.
 int Main(int argc, const char* const* argv);
 
 }  // namespace tulipyoke::cli
--- a/src/cli/exit_status.hpp
+++ b/src/cli/exit_status.hpp
@@ -1,4 +1,4 @@
-// The statuses that the program exits with.
+// Exit statuses of the program.
 #ifndef TULIPYOKE_SRC_CLI_EXIT_STATUS_HPP_
 #define TULIPYOKE_SRC_CLI_EXIT_STATUS_HPP_
 
@@ -6,7 +6,7 @@
 
 inline constexpr int kExitSuccess = 0;
 inline constexpr int kExitFailure = 1;
-inline constexpr int kExitIncomplete = 2;  // a zone was not reported in the time that there was for it
+inline constexpr int kExitIncomplete = 2;  // not every zone was reported before the time ended
 
 }  // namespace tulipyoke::cli
 
--- a/src/cli/run_command.cpp
+++ b/src/cli/run_command.cpp
@@ -11,22 +11,23 @@
 namespace tulipyoke::cli {
 namespace {
 
-// Signals that the server handles are blocked until it does: one that comes earlier must not end the process.
+// Blocks the signals that the server handles until it has installed its handlers: an earlier signal must not
+// terminate the process.
 class StartupSignalBlock {
  public:
   StartupSignalBlock() {
-    sigset_t handled;
-    sigemptyset(&handled);
-    for (const int signal : {SIGHUP, SIGTERM, SIGINT, SIGUSR1}) sigaddset(&handled, signal);
-    sigprocmask(SIG_BLOCK, &handled, &previous_);
+    sigset_t handled_signals;
+    sigemptyset(&handled_signals);
+    for (const int signal : {SIGHUP, SIGTERM, SIGINT, SIGUSR1}) sigaddset(&handled_signals, signal);
+    sigprocmask(SIG_BLOCK, &handled_signals, &previous_mask_);
   }
-  void Release() { sigprocmask(SIG_SETMASK, &previous_, nullptr); }
+  void Release() { sigprocmask(SIG_SETMASK, &previous_mask_, nullptr); }
 
  private:
-  sigset_t previous_;
+  sigset_t previous_mask_;
 };
 
-LogFormat LogFormatOf(const RunOptions& options, const Config& config) {
+LogFormat SelectLogFormat(const RunOptions& options, const Config& config) {
   const bool json = options.log_format.empty() ? config.log_json : options.log_format == "json";
   return json ? LogFormat::kJson : LogFormat::kText;
 }
@@ -34,12 +35,12 @@
 }  // namespace
 
 int Run(const RunOptions& options) {
-  std::signal(SIGPIPE, SIG_IGN);  // the reader of the log may end before this process
+  std::signal(SIGPIPE, SIG_IGN);  // the process that reads the log may exit before this one
   StartupSignalBlock signal_block;
   try {
     Config config = LoadConfig();
     config.trace = options.trace;
-    SetLogFormat(LogFormatOf(options, config));
+    SetLogFormat(SelectLogFormat(options, config));
     net::Server server(config);
     signal_block.Release();
     server.Run();
--- a/src/cli/run_command.hpp
+++ b/src/cli/run_command.hpp
@@ -1,4 +1,4 @@
-// `tulipyoke run`: the router in service.
+// `tulipyoke run`: runs the router.
 #ifndef TULIPYOKE_SRC_CLI_RUN_COMMAND_HPP_
 #define TULIPYOKE_SRC_CLI_RUN_COMMAND_HPP_
 
@@ -7,11 +7,12 @@
 namespace tulipyoke::cli {
 
 struct RunOptions {
-  std::string log_format;  // `text` or `json`; empty: as configured
+  std::string log_format;  // `text` or `json`; empty: taken from the configuration
   bool trace = false;      // logs each step of each request
 };
 
-// Serves as the configuration named by LB_CONFIG says, until it is told to stop. Returns the exit status.
+// Serves with the configuration that LB_CONFIG names until a signal stops the server. Returns the exit
+// status.
 int Run(const RunOptions& options);
 
 }  // namespace tulipyoke::cli
--- a/src/event_loop/cancellable_timer.hpp
+++ b/src/event_loop/cancellable_timer.hpp
@@ -1,7 +1,7 @@
-// A timer whose callback is never called after it was cancelled or set anew. Asio queues the handler of an
-// expired timer, and a queued handler cannot be withdrawn: a plain timer that is cancelled or re-armed in the
-// same iteration of the loop would still report its old expiry. Here each setting has a state of its own, and
-// the handler of a setting that was replaced finds that state gone.
+// A timer that never calls its callback after it was cancelled or re-armed. Asio queues the handler of an
+// expired timer and cannot withdraw it: a plain asio timer that is cancelled or re-armed in the same
+// iteration of the event loop still reports its old expiry. Here each handler holds a weak pointer to its
+// callback, which cancelling or re-arming the timer destroys.
 #ifndef TULIPYOKE_SRC_EVENT_LOOP_CANCELLABLE_TIMER_HPP_
 #define TULIPYOKE_SRC_EVENT_LOOP_CANCELLABLE_TIMER_HPP_
 
@@ -12,43 +12,44 @@
 
 namespace tulipyoke::net {
 
-// Used on the event loop's thread only.
+// Not thread-safe: used only on the event loop's thread.
 class CancellableTimer {
  public:
   using Callback = std::function<void()>;
 
   explicit CancellableTimer(asio::io_context& io) : timer_(io) {}
-  // The timer may be destroyed together with what its callback uses, also while an expiry is queued.
+  // The timer and the objects that its callback uses may be destroyed while the handler of an expiry is
+  // queued.
   ~CancellableTimer() { Cancel(); }
   CancellableTimer(const CancellableTimer&) = delete;
   CancellableTimer& operator=(const CancellableTimer&) = delete;
 
-  // Calls `callback` once, that long from now; replaces whatever was set before.
+  // Calls `callback` once after `delay`. Replaces the previous expiry and its callback.
   void ExpireAfter(asio::steady_timer::duration delay, Callback callback) {
     ExpireAt(asio::steady_timer::clock_type::now() + delay, std::move(callback));
   }
-  // Calls `callback` once at that time; replaces whatever was set before.
+  // Calls `callback` once at `time`. Replaces the previous expiry and its callback.
   void ExpireAt(asio::steady_timer::time_point time, Callback callback) {
     Cancel();
     timer_.expires_at(time);
-    pending_ = std::make_shared<Callback>(std::move(callback));
-    timer_.async_wait([pending = std::weak_ptr(pending_)](std::error_code) {
-      const std::shared_ptr<Callback> current = pending.lock();
-      if (!current) return;
-      // Taken out first, so that the setting holds nothing any more once it has expired.
-      const Callback expired = std::exchange(*current, {});
-      expired();
+    callback_ = std::make_shared<Callback>(std::move(callback));
+    timer_.async_wait([weak_callback = std::weak_ptr(callback_)](std::error_code) {
+      const std::shared_ptr<Callback> locked_callback = weak_callback.lock();
+      if (!locked_callback) return;
+      // Moved out before the call, so that the timer holds no callback once it has expired.
+      const Callback expired_callback = std::exchange(*locked_callback, {});
+      expired_callback();
     });
   }
-  // The callback is not called any more. Without effect where nothing is set.
+  // Prevents the pending call of the callback, if there is one.
   void Cancel() {
-    pending_.reset();
+    callback_.reset();
     timer_.cancel();
   }
 
  private:
   asio::steady_timer timer_;
-  std::shared_ptr<Callback> pending_;  // of the current setting; null: cancelled
+  std::shared_ptr<Callback> callback_;  // null: cancelled or never armed
 };
 
 }  // namespace tulipyoke::net
--- a/src/event_loop/endpoint.hpp
+++ b/src/event_loop/endpoint.hpp
@@ -1,4 +1,4 @@
-// Addresses as they stand in the configuration and in lists of servers, as endpoints of sockets.
+// Converts addresses from the configuration and from endpoint lists to socket endpoints.
 #ifndef TULIPYOKE_SRC_EVENT_LOOP_ENDPOINT_HPP_
 #define TULIPYOKE_SRC_EVENT_LOOP_ENDPOINT_HPP_
 
@@ -10,14 +10,14 @@
 
 namespace tulipyoke::net {
 
-// `address` is `IP:port`. Throws std::runtime_error where it is not. Host names are not resolved: there may
-// be no resolver to ask, and the loop must not wait for one.
+// Parses `IP:port`. Throws std::runtime_error if `address` has another form. Host names are not resolved:
+// there may be no resolver, and the event loop must not block on one.
 inline asio::ip::tcp::endpoint ParseEndpoint(const std::string& address) {
-  const HostPort parts = ParseHostPortOrThrow(address);
+  const HostPort host_port = ParseHostPortOrThrow(address);
   std::error_code error;
-  const asio::ip::address host = asio::ip::make_address(parts.host, error);
-  if (error) throw std::runtime_error("not an IP address: '" + parts.host + "'");
-  return {host, parts.port};
+  const asio::ip::address ip = asio::ip::make_address(host_port.host, error);
+  if (error) throw std::runtime_error("not an IP address: '" + host_port.host + "'");
+  return {ip, host_port.port};
 }
 
 }  // namespace tulipyoke::net
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,5 +1,6 @@
-// The log: one line on standard error for each event, with the event's name and named fields; docs/on-call.md
-// explains each event. As text, `tulipyoke: ` and a sentence; as JSON lines, the sentence beside all fields.
+// Structured log: writes one line per event to standard error. The text format is `tulipyoke: ` and a
+// sentence; the JSON format adds the event's name, the level, the time and all fields. docs/on-call.md
+// explains each event.
 #ifndef TULIPYOKE_SRC_LOG_LOG_HPP_
 #define TULIPYOKE_SRC_LOG_LOG_HPP_
 
@@ -19,7 +20,7 @@
   std::variant<std::string, std::int64_t, double> value;
 };
 
-// The format of all lines from here on; before the first call it is text. To be called once, at the start.
+// Sets the format of all later lines; the default is text. Call it once, at startup.
 void SetLogFormat(LogFormat format);
 
 // Safe to call from any thread.
@@ -33,7 +34,8 @@
   LogEvent(LogLevel::kWarning, event, text, fields);
 }
 
-// The line for an event, without its end. `time_ms` is milliseconds of Unix time.
+// Returns the line for an event, without the newline. `time_ms` is Unix time in milliseconds. The text format
+// contains only `text`.
 std::string FormatLogLine(LogFormat format, LogLevel level, std::string_view event, std::string_view text,
                           const std::vector<LogField>& fields, std::int64_t time_ms);
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,17 +1,17 @@
-// The router as a program.
+// Entry point of the router.
 #include <malloc.h>
 
 #include "src/cli/command_line.hpp"
 
 namespace {
 
-// Bytes. Larger blocks, such as large statements, are mapped by themselves, so that freeing them gives the
-// memory back to the system: memory is scarce.
-constexpr int kMmapThreshold = 128 << 10;
+// malloc maps larger blocks, such as large statements, separately, so that freeing them returns the memory to
+// the system at once: memory is scarce.
+constexpr int kMmapThresholdBytes = 128 << 10;
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  mallopt(M_MMAP_THRESHOLD, kMmapThreshold);
+  mallopt(M_MMAP_THRESHOLD, kMmapThresholdBytes);
   return tulipyoke::cli::Main(argc, argv);
 }
--- a/tests/admin/golden_bytes_test.cpp
+++ b/tests/admin/golden_bytes_test.cpp
@@ -1,5 +1,5 @@
-// The exact bytes of the admin server's answers. Scripts of operators and the platform's health check read
-// them, so the expected strings are compared byte by byte.
+// Golden bytes of the admin server's responses. Operators' scripts and the platform's health check parse
+// them, so they are compared byte by byte.
 #include <gtest/gtest.h>
 
 #include <asio.hpp>
@@ -13,84 +13,84 @@
 namespace tulipyoke::net {
 namespace {
 
-std::string PlainText(const std::string& status_line, std::size_t length) {
+std::string PlainTextHead(const std::string& status_line, std::size_t content_length) {
   return "HTTP/1.1 " + status_line +
-         "\r\nContent-Type: text/plain\r\nContent-Length: " + std::to_string(length);
+         "\r\nContent-Type: text/plain\r\nContent-Length: " + std::to_string(content_length);
 }
 
-constexpr const char* kEndOfHead = "\r\nConnection: close\r\n\r\n";
+constexpr const char* kHeadEnd = "\r\nConnection: close\r\n\r\n";
 
-TEST(AdminGoldenBytes, OfReadinessAndOfTakingTheRouterOutOfService) {
+TEST(AdminGoldenBytes, ReadinessAndServingState) {
   RunningServer router({});
-  const std::string yes = PlainText("200 OK", 4) + kEndOfHead + "yes\n";
-  EXPECT_EQ(router.Call("GET", "/control/ready"), yes);
-  EXPECT_EQ(router.Call("GET", "/control/ready?now=1"), yes);
-  const std::string out = PlainText("200 OK", 15) + kEndOfHead + "out of service\n";
-  EXPECT_EQ(router.Call("POST", "/control/out-of-service"), out);
-  EXPECT_EQ(router.Call("POST", "/control/out-of-service"), out);
+  const std::string ready = PlainTextHead("200 OK", 4) + kHeadEnd + "yes\n";
+  EXPECT_EQ(router.Call("GET", "/control/ready"), ready);
+  EXPECT_EQ(router.Call("GET", "/control/ready?now=1"), ready);
+  const std::string out_of_service = PlainTextHead("200 OK", 15) + kHeadEnd + "out of service\n";
+  EXPECT_EQ(router.Call("POST", "/control/out-of-service"), out_of_service);
+  EXPECT_EQ(router.Call("POST", "/control/out-of-service"), out_of_service);
   EXPECT_EQ(router.Call("GET", "/control/ready"),
-            PlainText("503 Service Unavailable", 3) + kEndOfHead + "no\n");
-  const std::string in = PlainText("200 OK", 11) + kEndOfHead + "in service\n";
-  EXPECT_EQ(router.Call("POST", "/control/in-service"), in);
-  EXPECT_EQ(router.Call("POST", "/control/in-service"), in);
-  EXPECT_EQ(router.Call("GET", "/control/ready"), yes);
+            PlainTextHead("503 Service Unavailable", 3) + kHeadEnd + "no\n");
+  const std::string in_service = PlainTextHead("200 OK", 11) + kHeadEnd + "in service\n";
+  EXPECT_EQ(router.Call("POST", "/control/in-service"), in_service);
+  EXPECT_EQ(router.Call("POST", "/control/in-service"), in_service);
+  EXPECT_EQ(router.Call("GET", "/control/ready"), ready);
 }
 
-TEST(AdminGoldenBytes, OfTheCounters) {
+TEST(AdminGoldenBytes, Counters) {
   RunningServer router({});
   const std::string body =
       "passed.any=0\ndropped.any=0\nbad_gateway.any=0\nupstream_tries=0\nin_progress=0\n"
       "known_readings_servers=0\nskipped_readings_servers=0\n";
-  EXPECT_EQ(router.Call("GET", "/control/counters"), PlainText("200 OK", body.size()) + kEndOfHead + body);
+  EXPECT_EQ(router.Call("GET", "/control/counters"), PlainTextHead("200 OK", body.size()) + kHeadEnd + body);
 }
 
-TEST(AdminGoldenBytes, OfRejectedCalls) {
+TEST(AdminGoldenBytes, RejectedRequests) {
   RunningServer router({});
-  const std::string unknown = PlainText("404 Not Found", 13) + kEndOfHead + "no such call\n";
-  // Without DNS-SD sources, there is no view of the servers.
+  const std::string not_found = PlainTextHead("404 Not Found", 13) + kHeadEnd + "no such call\n";
+  // Without DNS-SD sources, /control/servers does not exist.
   for (const char* path : {"/control/nothing", "/control/servers", "/control/ready/", "/"}) {
-    EXPECT_EQ(router.Call("GET", path), unknown) << path;
-    EXPECT_EQ(router.Call("POST", path), unknown) << path;
+    EXPECT_EQ(router.Call("GET", path), not_found) << path;
+    EXPECT_EQ(router.Call("POST", path), not_found) << path;
   }
   const std::string get_only =
-      PlainText("405 Method Not Allowed", 19) + "\r\nAllow: GET" + kEndOfHead + "this call is a GET\n";
+      PlainTextHead("405 Method Not Allowed", 19) + "\r\nAllow: GET" + kHeadEnd + "this call is a GET\n";
   EXPECT_EQ(router.Call("POST", "/control/ready"), get_only);
   EXPECT_EQ(router.Call("DELETE", "/control/counters"), get_only);
   const std::string post_only =
-      PlainText("405 Method Not Allowed", 20) + "\r\nAllow: POST" + kEndOfHead + "this call is a POST\n";
+      PlainTextHead("405 Method Not Allowed", 20) + "\r\nAllow: POST" + kHeadEnd + "this call is a POST\n";
   EXPECT_EQ(router.Call("GET", "/control/in-service"), post_only);
   EXPECT_EQ(router.Call("HEAD", "/control/out-of-service"), post_only);
-  const std::string malformed = PlainText("400 Bad Request", 23) + kEndOfHead + "not a call in HTTP/1.1\n";
+  const std::string malformed = PlainTextHead("400 Bad Request", 23) + kHeadEnd + "not a call in HTTP/1.1\n";
   EXPECT_EQ(router.Call("garbage\r\n\r\n"), malformed);
 }
 
-TEST(AdminGoldenBytes, OfACallThatIsNotCompleteInTime) {
+TEST(AdminGoldenBytes, IncompleteRequestTimesOut) {
   RunningServer router({});
   EXPECT_EQ(router.Call("GET /control/re"),
-            PlainText("408 Request Timeout", 27) + kEndOfHead + "no whole call came in time\n");
+            PlainTextHead("408 Request Timeout", 27) + kHeadEnd + "no whole call came in time\n");
 }
 
-// While the router stops, it is not ready and cannot be put back into service.
-TEST(AdminGoldenBytes, OfARouterThatIsShuttingDown) {
-  std::mutex gate;
-  gate.lock();
+// While the router shuts down, it is not ready and cannot be returned to service.
+TEST(AdminGoldenBytes, ShutdownInProgress) {
+  std::mutex response_mutex;
+  response_mutex.lock();
   ScriptedServer server([&](const std::string&) {
-    const std::lock_guard wait(gate);
+    const std::lock_guard lock(response_mutex);
     return Row("v");
   });
   RunningServer router({server.port()});
-  Peer busy = router.Session();
-  busy.Write(Ask("1"));
+  Peer busy_client = router.Session();
+  busy_client.Write(Ask("1"));
   while (server.queries().empty()) std::this_thread::yield();
   kill(getpid(), SIGTERM);
-  const std::string no = PlainText("503 Service Unavailable", 3) + kEndOfHead + "no\n";
-  while (router.Call("GET", "/control/ready") != no) std::this_thread::yield();
+  const std::string not_ready = PlainTextHead("503 Service Unavailable", 3) + kHeadEnd + "no\n";
+  while (router.Call("GET", "/control/ready") != not_ready) std::this_thread::yield();
   EXPECT_EQ(router.Call("POST", "/control/in-service"),
-            PlainText("409 Conflict", 9) + kEndOfHead + "stopping\n");
+            PlainTextHead("409 Conflict", 9) + kHeadEnd + "stopping\n");
   EXPECT_EQ(router.Call("POST", "/control/out-of-service"),
-            PlainText("200 OK", 15) + kEndOfHead + "out of service\n");
-  gate.unlock();
-  EXPECT_EQ(busy.UntilReady()[0].first, 'T');
+            PlainTextHead("200 OK", 15) + kHeadEnd + "out of service\n");
+  response_mutex.unlock();
+  EXPECT_EQ(busy_client.UntilReady()[0].first, 'T');
 }
 
 }  // namespace
--- a/tests/cli/commands_test.cpp
+++ b/tests/cli/commands_test.cpp
@@ -1,4 +1,4 @@
-// The sub-commands of the command line.
+// Tests of the subcommands `config check` and `dns browse`.
 #include <gtest/gtest.h>
 
 #include <sstream>
@@ -23,20 +23,20 @@
   standins::Loop loop;
   standins::DnsResponder responder(loop, "derby.example.org");
   responder.Publish({{"good", "127.0.0.1", 7001, {"group=2"}, 10, ""}, {"bad", "127.0.0.1", 0, {}, 10, ""}});
-  cli::BrowseOptions browse;
-  browse.zone = "derby.example.org";
-  browse.resolvers = {responder.address()};
-  browse.once = true;
-  browse.seconds = 20;
+  cli::BrowseOptions options;
+  options.zone = "derby.example.org";
+  options.resolvers = {responder.address()};
+  options.once = true;
+  options.seconds = 20;
   std::ostringstream out;
-  EXPECT_EQ(cli::BrowseDns(browse, out), 0) << out.str();
+  EXPECT_EQ(cli::BrowseDns(options, out), 0) << out.str();
   EXPECT_NE(out.str().find("good._readings._tcp.derby.example.org. at 127.0.0.1:7001 in service"),
             std::string::npos)
       << out.str();
   EXPECT_NE(out.str().find("SRV names port 0"), std::string::npos) << out.str();
-  browse.resolvers = {"127.0.0.1:1"};
-  browse.seconds = 0.3;
-  EXPECT_EQ(cli::BrowseDns(browse, out), 2);
+  options.resolvers = {"127.0.0.1:1"};
+  options.seconds = 0.3;
+  EXPECT_EQ(cli::BrowseDns(options, out), 2);
   loop.Stop();
 }
 
--- a/tests/event_loop/timer_cancellation_test.cpp
+++ b/tests/event_loop/timer_cancellation_test.cpp
@@ -1,4 +1,4 @@
-// Timers that are set anew, cancelled or destroyed after they have expired and before their handlers run.
+// Tests of timers that are re-armed, cancelled or destroyed after they expire and before their handlers run.
 #include <gtest/gtest.h>
 
 #include <asio.hpp>
@@ -14,30 +14,31 @@
 using std::chrono::hours;
 using std::chrono::milliseconds;
 
-// Guards against a timer that fires though it was set anew or cancelled in the turn of the loop in which it
-// expired.
-TEST(CancellableTimer, WhatWasSetAnewOrCalledOffIsNotHeardOf) {
+// Guards against a callback that still runs although its timer was re-armed, cancelled or destroyed in the
+// same iteration of the event loop in which the timer expired.
+TEST(CancellableTimer, DoesNotCallCallbacksThatWereReplacedOrCancelled) {
   asio::io_context io;
-  CancellableTimer anew(io), off(io), rings(io);
-  auto gone = std::make_unique<CancellableTimer>(io);
-  std::string heard;
+  CancellableTimer rearmed(io), cancelled(io), repeated(io);
+  auto destroyed = std::make_unique<CancellableTimer>(io);
+  std::string calls;
   const auto past = asio::steady_timer::clock_type::now() - milliseconds(10);
-  asio::steady_timer first(io, past - milliseconds(10));  // its handler is queued before theirs
-  first.async_wait([&](std::error_code) {
-    anew.ExpireAfter(hours(1), [&] { heard += "late"; });
-    off.Cancel();
-    gone.reset();
+  // Expires earlier, so that its handler is queued before those of the others.
+  asio::steady_timer earlier_timer(io, past - milliseconds(10));
+  earlier_timer.async_wait([&](std::error_code) {
+    rearmed.ExpireAfter(hours(1), [&] { calls += "late"; });
+    cancelled.Cancel();
+    destroyed.reset();
   });
-  anew.ExpireAt(past, [&] { heard += "anew"; });
-  off.ExpireAt(past, [&] { heard += "off"; });
-  gone->ExpireAt(past, [&] { heard += "gone"; });
-  rings.ExpireAt(past, [&] {
-    heard += "1";
-    rings.ExpireAt(past, [&] { heard += "2"; });
+  rearmed.ExpireAt(past, [&] { calls += "rearmed"; });
+  cancelled.ExpireAt(past, [&] { calls += "cancelled"; });
+  destroyed->ExpireAt(past, [&] { calls += "destroyed"; });
+  repeated.ExpireAt(past, [&] {
+    calls += "1";
+    repeated.ExpireAt(past, [&] { calls += "2"; });
   });
   while (io.poll_one() > 0) {
   }
-  EXPECT_EQ(heard, "12");
+  EXPECT_EQ(calls, "12");
 }
 
 }  // namespace
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -1,4 +1,4 @@
-// Lines of the log, as text and JSON.
+// Tests of log lines in the text and JSON formats.
 #include "src/log/log.hpp"
 
 #include <gtest/gtest.h>
