--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -18,8 +18,8 @@
 struct AdminCounters {
   std::uint64_t requests = 0;
   std::uint64_t malformed = 0;
-  std::uint64_t timed_out =
-      0;  // connections that sent no complete request in time, or that a newer connection replaced
+  // Connections that sent no complete request in time, or that a newer connection replaced.
+  std::uint64_t timed_out = 0;
 };
 
 // Not thread-safe: used only on the event loop's thread, which also calls the handler.
--- a/src/cli/browse_command.hpp
+++ b/src/cli/browse_command.hpp
@@ -8,7 +8,7 @@
 
 namespace tulipyoke::cli {
 
-// Either `file` or `zone` is set.
+// Exactly one of `file` and `zone` is set.
 struct BrowseOptions {
   std::string file;    // a configuration whose DNS-SD sources are browsed
   std::string source;  // browses only this source of the file; empty: all
--- a/src/cli/check_config_command.hpp
+++ b/src/cli/check_config_command.hpp
@@ -7,7 +7,7 @@
 
 namespace tulipyoke::cli {
 
-// Writes a summary of `file` or its first error to `out`. Returns the exit status.
+// Writes a summary of `file`, or its first error and where it is, to `out`. Returns the exit status.
 int CheckConfig(const std::string& file, std::ostream& out);
 
 }  // namespace tulipyoke::cli
