--- a/src/discovery/service_discovery.cpp
+++ b/src/discovery/service_discovery.cpp
@@ -48,7 +48,7 @@
         browser(LimitedBrowserOptions(source, max_queries)),
         resolver(source.resolver_options) {
     for (const std::string& address : source.resolvers)
-      resolver_endpoints.push_back(net::ToEndpoint(address));
+      resolver_endpoints.push_back(net::ParseEndpoint(address));
   }
 
   std::size_t source_index;
